--- a/packages/registry/src/fordhatch/registry/_outage_evidence.py
+++ b/packages/registry/src/fordhatch/registry/_outage_evidence.py
@@ -17,7 +17,7 @@
 lost."""
 
 STALE_AFTER_S = 1.2
-"""Age of a node's confirmation from which it counts as cut off from the store or its
+"""Age of a node's confirmation above which it counts as cut off from the store or its
 reader; otherwise a node's copy is confirmed every 0.3 s."""
 
 MAX_CONTRARY_S = 1.5
--- a/packages/registry/src/fordhatch/registry/_relay.py
+++ b/packages/registry/src/fordhatch/registry/_relay.py
@@ -35,7 +35,7 @@
 """How long a node holds another node's query if a change must be in effect within two
 seconds; an answer without changes relays the confirmation. If more time is allowed,
 queries are held longer in proportion: each costs both sides about half a millisecond,
-the largest cost on an idle system."""
+and an idle system does little else."""
 
 WAIT_FRACTION = 0.1
 """Fraction of the time within which a change must be in effect for which a query is
--- a/packages/registry/src/fordhatch/registry/_table_copy.py
+++ b/packages/registry/src/fordhatch/registry/_table_copy.py
@@ -50,7 +50,10 @@
         return update.is_whole and update.version < self.version
 
     def is_restore(self, update: TableUpdate) -> bool:
-        """Return whether the store was restored from a backup since this version."""
+        """Return whether the update is of a later generation than this copy.
+
+        The store was restored from a backup in between.
+        """
         is_later = update.version.generation > self.version.generation
         return self.version != NOTHING and is_later
 
@@ -89,8 +92,8 @@
             if key not in present
         ]
         changed = [
-            # A missed change has an earlier version than the copies of other nodes;
-            # the version of this update is what makes them receive it.
+            # A missed change may be earlier than the versions of other nodes' copies.
+            # It gets the version of this update, so that they receive it.
             row
             if row.version > max(self.version, self.generation_start)
             else attrs.evolve(row, version=update.version)
--- a/packages/registry/tests/test_outage_evidence.py
+++ b/packages/registry/tests/test_outage_evidence.py
@@ -1,4 +1,4 @@
-"""Tests that distinguish a system-wide outage of the store from the isolation of one node.
+"""Tests that distinguish a system-wide outage of the store from an isolated node.
 
 Systems have from 7 to 9 nodes up to a planned 340. Outages last 4 to 9 s; without
 evidence, the copy of the configuration is valid for 4.9 s.
