--- a/packages/registry/src/fordhatch/registry/_reader_choice.py
+++ b/packages/registry/src/fordhatch/registry/_reader_choice.py
@@ -226,7 +226,7 @@
 def _first_of(
     ranked: Sequence[NodeAddress], accepts: Callable[[str], bool], now_s: float
 ) -> NodeAddress | None:
-    """Return the first accepted node, preferably one past ``SETTLED_S``."""
+    """Return the first accepted node, preferably one seen for ``SETTLED_S``."""
     accepted = None
     for node in ranked:
         if not accepts(node.name):
