--- a/bench/crash_guards.py
+++ b/bench/crash_guards.py
@@ -19,7 +19,7 @@
         "serving/_crash_watch.py",
         "            return answer.unwrap_err().code is ResultCode.BACKEND_REFUSED\n",
         "            return True\n",
-        f"{SERVING}/test_crash_watch.py -k nobody_answers",
+        f"{SERVING}/test_crash_watch.py -k unanswered_probe",
     ),
     Guard(
         "crash: the cause of an end frees the others that were there",
@@ -31,9 +31,9 @@
     Guard(
         "crash: a whole answer clears a content",
         "serving/_crash_watch.py",
-        "            self.teller.take_back(self.quarantine.clear(digest))\n",
+        "            self.row_writer.remove(self.quarantine.clear(digest))\n",
         "            pass\n",
-        f"{SERVING}/test_quarantined_calls.py -k takes_back",
+        f"{SERVING}/test_quarantined_calls.py -k removes_the_published",
     ),
     Guard(
         "crash: runs under way are stopped",
--- a/bench/entry_guards.py
+++ b/bench/entry_guards.py
@@ -83,6 +83,6 @@
         "serving/_head_choice.py",
         "OTHER_ZONE_COST / max(self.node_count(), 1)",
         "OTHER_ZONE_COST / 8",
-        "packages/serving/tests/test_head_choice.py -k drowned",
+        "packages/serving/tests/test_head_choice.py -k overloaded",
     ),
 ]
--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -83,7 +83,7 @@
     Guard(
         "BUDGET: nodes share the budget for repeats",
         "serving/_repeat_budget.py",
-        "        slack = self.bounds.retry_slack / self._most_nodes()\n",
+        "        slack = self.bounds.retry_slack / self._max_nodes()\n",
         "        slack = self.bounds.retry_slack\n",
         f"{SERVING}/test_parts.py -k nodes_together",
     ),
--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -17,23 +17,23 @@
     Guard(
         "limit: permits are counted in one place",
         "serving/_permits.py",
-        "            permit = await self._ask(node, limit)\n",
+        "            permit = await self._request_permit(node, limit)\n",
         "            permit = None\n",
         f"{SERVING}/test_permits.py -k kept_and_used",
     ),
     Guard(
         "limit: the next issuer gives out less",
         "serving/_permit_issuer.py",
-        "    return RANK_SHARE ** min(rank, MOST_RANK)\n",
+        "    return RANK_FRACTION ** min(rank, MAX_RANK)\n",
         "    return 1.0\n",
         f"{SERVING}/test_permits_stateful.py",
     ),
     Guard(
         "rest: who is held off is left out of the choice of a head",
         "serving/_head_choice.py",
-        " if head.backend_id not in held]",
+        " if head.backend_id not in blocked]",
         "]",
-        f"{SERVING}/test_head_choice.py -k is_held",
+        f"{SERVING}/test_head_choice.py -k blocked_head",
     ),
     Guard(
         "rest: who rests is no last resort",
@@ -45,7 +45,7 @@
     Guard(
         "rest: it ends within a bound",
         "serving/_pressure_book.py",
-        "min(rest_s, MOST_HOLD_S - REST_SPREAD_S)",
+        "min(rest_s, MAX_BLOCK_S - BACKOFF_SPREAD_S)",
         "rest_s",
         f"{SERVING}/test_plain_calls.py -k rest_of_a_year",
     ),
@@ -66,8 +66,8 @@
     Guard(
         "departure: other nodes are told",
         "serving/_pressure_book.py",
-        "        for call in self._leaving_subscribers:\n"
-        "            call(backend_id)\n",
+        "        for callback in self._leaving_subscribers:\n"
+        "            callback(backend_id)\n",
         "",
         "standins/tests/test_departures_told_in_answers.py",
     ),
--- a/packages/serving/src/fordhatch/serving/_crash_teller.py
+++ b/packages/serving/src/fordhatch/serving/_crash_teller.py
@@ -1,4 +1,7 @@
-"""Tells the other nodes, by rows in the store, of servers that ended under requests."""
+"""Writes rows to the store about backend servers that crashed while running requests.
+
+The other nodes read these rows.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +14,26 @@
 from fordhatch.registry import SHARED_TABLE, CrashKey, CrashRecord, crash_key
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for the store to take the rows."""
+"""Longest wait for the store to accept the rows, in seconds."""
 
-PAUSE_S = 0.1
-"""Pause after each call, in which more rows gather: however many contents end servers,
-a node makes ten calls a second at the most, and 195 nodes two thirds of what the store
-takes of them."""
+BATCH_PAUSE_S = 0.1
+"""Pause after each call, in seconds, during which more rows are collected. However many
+contents crash backend servers, a node makes at most ten calls a second, and 195 nodes
+use two thirds of the calls that the store accepts from them."""
 
-RETRY_S = 0.25
-"""Pause after a call that failed, until the store is back."""
+RETRY_DELAY_S = 0.25
+"""Pause after a failed call, in seconds, repeated until the store accepts one."""
 
-MOST_ROWS = 90
-"""Rows in one call; the store takes a hundred."""
+MAX_ROWS_PER_CALL = 90
+"""Rows in one call; the store accepts a hundred."""
 
-MOST_WAITING = 500
-"""Rows that wait for the store at the most; the oldest are dropped first."""
+MAX_PENDING_ROWS = 500
+"""Maximum of rows that wait for the store; the oldest ones are dropped first."""
 
 
 @attrs.define(eq=False, repr=False)
 class CrashTeller:
-    """Writes and removes rows about crashes until the store has taken them."""
+    """Writes and removes crash rows, retrying until the store has accepted them."""
 
     store: StoreClient
     timer: Timer
@@ -39,28 +42,28 @@
     _tasks: TaskSet = attrs.field(factory=TaskSet)
     _is_writing: bool = False
 
-    def tell(self, records: Iterable[CrashRecord]) -> None:
-        """Write rows as soon as the store takes them."""
+    def put(self, records: Iterable[CrashRecord]) -> None:
+        """Queue rows to be written."""
         for record in records:
             row = RowKey(SHARED_TABLE, crash_key(*record.key))
             self._removes.pop(row, None)
             self._puts[row] = record.to_bytes()
-        self._begin()
+        self._start_writing()
 
-    def take_back(self, keys: Iterable[CrashKey]) -> None:
-        """Remove rows as soon as the store takes that."""
+    def remove(self, keys: Iterable[CrashKey]) -> None:
+        """Queue rows to be removed."""
         for key in keys:
             row = RowKey(SHARED_TABLE, crash_key(*key))
             self._puts.pop(row, None)
             self._removes[row] = None
-        self._begin()
+        self._start_writing()
 
-    def _begin(self) -> None:
-        for waiting in (self._puts, self._removes):
-            while len(waiting) > MOST_WAITING:
-                row = next(iter(waiting))
+    def _start_writing(self) -> None:
+        for pending in (self._puts, self._removes):
+            while len(pending) > MAX_PENDING_ROWS:
+                row = next(iter(pending))
                 log_event("crash_row_dropped", row=row.key)
-                del waiting[row]
+                del pending[row]
         if not self._is_writing and (self._puts or self._removes):
             self._is_writing = True
             self._tasks.spawn(self._write_all(), "tell-crashes")
@@ -68,16 +71,18 @@
     async def _write_all(self) -> None:
         try:
             while self._puts or self._removes:
-                is_taken = await self._write_some()
-                pause_s = PAUSE_S if is_taken else self.timer.jittered(RETRY_S)
+                is_written = await self._write_batch()
+                pause_s = (
+                    BATCH_PAUSE_S if is_written else self.timer.jittered(RETRY_DELAY_S)
+                )
                 await self.timer.sleep(pause_s)
         finally:
             self._is_writing = False
 
-    async def _write_some(self) -> bool:
-        """Write what waits, as much as one call takes; return whether it was taken."""
-        puts = dict(list(self._puts.items())[:MOST_ROWS])
-        removes = tuple(list(self._removes)[: MOST_ROWS - len(puts)])
+    async def _write_batch(self) -> bool:
+        """Write one call of pending rows; return whether it succeeded."""
+        puts = dict(list(self._puts.items())[:MAX_ROWS_PER_CALL])
+        removes = tuple(list(self._removes)[: MAX_ROWS_PER_CALL - len(puts)])
         written = await self.store.write({}, puts, removes, timeout_s=WRITE_TIMEOUT_S)
         if written.is_err():
             error = written.err().message
--- a/packages/serving/src/fordhatch/serving/_crash_watch.py
+++ b/packages/serving/src/fordhatch/serving/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out which requests were at work when a backend server ended, and tells."""
+"""Detects crashes of backend servers and records which requests were running there."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 from ._request import ServedRequest
 from ._request_digest import request_digest
 
-KEEP_S = 5.0
-"""How long it is remembered that a backend server has ended: its last connections
+ENDED_RETENTION_S = 5.0
+"""How long a crashed backend server is remembered, in seconds; its last connections
 break within a second."""
 
-OWN_KEEP_S = 3600.0
-"""How long a crash counts that the store does not hold; it keeps its rows as long."""
+UNSTORED_RETENTION_S = 3600.0
+"""How long a crash counts that is not in the store, in seconds; rows in the store are
+kept for the same time."""
 
-MOST_NAMED = 16
-"""Requests that one log line names at the most: as many as a group runs at once."""
+MAX_NAMED_RUNS = 16
+"""Maximum of requests named in one log line; as many as a group runs at once."""
 
 
 @attrs.frozen
 class BrokenRun:
-    """A run whose connection has broken."""
+    """A run of a request whose connection has broken."""
 
     request: ServedRequest
     stage: RunStage
@@ -38,44 +39,51 @@
 
 @attrs.define(eq=False, repr=False)
 class _Check:
-    """What is known of a backend server whose connections have broken."""
+    """State of a check of a backend server whose connections have broken."""
 
     backend: BackendServer
     since_s: float
     runs: list[BrokenRun] = attrs.field(factory=list)
-    has_ended: bool = False
-    is_known: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set when it is known whether it has ended."""
+    has_crashed: bool = False
+    is_resolved: asyncio.Event = attrs.field(factory=asyncio.Event)
+    """Set when the check has found whether the backend server has crashed."""
 
 
 @attrs.define(eq=False, repr=False)
 class CrashWatch:
-    """Asks a backend server whose connection has broken whether it is still there.
+    """Probes backend servers whose connections have broken, to detect crashes.
 
-    A connection also breaks where a link is cut or reset, or one answer is spoiled. A
-    backend server has ended only if nothing listens at its address any more, or if a
-    later start or another one answers there; if nobody answers, that is not known.
+    A connection also breaks when a link is cut or reset, or when one answer is
+    malformed. A backend server has crashed only if nothing listens at its address any
+    more, or if a later start or another backend server answers there. If the probe gets
+    no answer, the backend server is not counted as crashed.
     """
 
     node_name: str
     timer: Timer
     backends: BackendClient
     shared: SharedRows
-    teller: CrashTeller
+    row_writer: CrashTeller
     quarantine: Quarantine = attrs.field(init=False)
     _subscribers: list[Callable[[list[CrashRecord]], None]] = attrs.field(factory=list)
     _checks: dict[str, _Check] = attrs.field(factory=dict)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def __attrs_post_init__(self) -> None:
-        """Build the quarantine that this part fills."""
+        """Create the quarantine that the observed crashes are recorded in."""
         self.quarantine = Quarantine(self.shared, self.digest)
         self.shared.subscribe(self.quarantine.refresh)
 
     def broke(
         self, request: ServedRequest, backend: BackendServer, stage: RunStage
     ) -> None:
-        """Note that the connection of a run has broken."""
+        """Record that the connection of a run has broken.
+
+        Args:
+            request: The request that was running.
+            backend: The backend server that ran it.
+            stage: How far the run had come.
+        """
         run = BrokenRun(request, stage)
         check = self._checks.get(backend.backend_id)
         if check is None:
@@ -84,37 +92,37 @@
             self._tasks.spawn(self._check(check), f"ended-{backend.backend_id}")
             return
         check.runs.append(run)
-        if check.has_ended:
-            self._observe(check, run)
+        if check.has_crashed:
+            self._record(check, run)
 
     async def until_known(self, backend: BackendServer) -> None:
-        """Wait until it is known whether a backend server has ended."""
+        """Wait until a pending check of a backend server, if any, is resolved."""
         check = self._checks.get(backend.backend_id)
         if check is not None:
-            await check.is_known.wait()
+            await check.is_resolved.wait()
 
     async def _check(self, check: _Check) -> None:
         try:
-            check.has_ended = await self._has_ended(check.backend)
+            check.has_crashed = await self._has_crashed(check.backend)
         finally:
-            if not check.has_ended:
+            if not check.has_crashed:
                 del self._checks[check.backend.backend_id]
             else:
-                self._found(check)
-            check.is_known.set()
+                self._handle_crash(check)
+            check.is_resolved.set()
 
-    def _found(self, check: _Check) -> None:
+    def _handle_crash(self, check: _Check) -> None:
         metrics.BACKENDS_ENDED.inc()
-        self._log(check)
+        self._log_crash(check)
         for run in check.runs:
-            self._observe(check, run)
+            self._record(check, run)
 
-    def _observe(self, check: _Check, run: BrokenRun) -> None:
-        """Count a crash against a content.
+    def _record(self, check: _Check, run: BrokenRun) -> None:
+        """Record a crash against the content of a run's request.
 
-        The others need not hear of it at once: nearly always it was another content,
-        and this one's second run is whole. That saves a row for each run of each server
-        that ends.
+        The crash is not published at once: nearly always another content caused it, and
+        the retry of this one completes. This saves one row for each run of each crashed
+        backend server.
         """
         digest = self.digest(run.request)
         if not digest or run.request.was_answered:
@@ -125,40 +133,44 @@
         )
         is_second = len(self.quarantine.crashes(digest)) > 1
         if is_second or run.request.is_over:
-            self._tell(digest)
+            self._publish(digest)
 
-    def _tell(self, digest: str) -> None:
-        records = self.quarantine.take_untold(digest)
+    def _publish(self, digest: str) -> None:
+        records = self.quarantine.take_unpublished(digest)
         if not records:
             return
-        self.teller.tell(records)
-        for call in self._subscribers:
-            call(records)
+        self.row_writer.put(records)
+        for callback in self._subscribers:
+            callback(records)
 
-    def subscribe(self, call: Callable[[list[CrashRecord]], None]) -> None:
-        """Call back with what this node has seen and other nodes must know."""
-        self._subscribers.append(call)
+    def subscribe(self, callback: Callable[[list[CrashRecord]], None]) -> None:
+        """Register a callback for crashes that other nodes must be notified of."""
+        self._subscribers.append(callback)
 
     def ended(self, request: ServedRequest) -> None:
-        """Take note of how a request has ended."""
+        """Process the end of a request.
+
+        If the request got its answer, crash records of its content are cleared;
+        otherwise those that are not published yet are published.
+        """
         request.is_over = True
-        if not self.quarantine.is_anything_known():
+        if not self.quarantine.has_crashes():
             return
         digest = self.digest(request)
         if request.was_answered:
-            self.teller.take_back(self.quarantine.clear(digest))
+            self.row_writer.remove(self.quarantine.clear(digest))
         else:
-            self._tell(digest)
+            self._publish(digest)
 
-    async def _has_ended(self, backend: BackendServer) -> bool:
+    async def _has_crashed(self, backend: BackendServer) -> bool:
         answer = await probe(self.backends, backend)
         if answer.is_err():
             return answer.unwrap_err().code is ResultCode.BACKEND_REFUSED
-        # Plain services need not report who they are; somebody is there.
+        # Plain services need not report an identity; any answer shows a live process.
         is_engine = backend.membership is not None
         return is_engine and not answer.unwrap().is_of(backend)
 
-    def _log(self, check: _Check) -> None:
+    def _log_crash(self, check: _Check) -> None:
         place = check.backend.membership
         log_event(
             "backend_ended",
@@ -167,24 +179,24 @@
             runs=len(check.runs),
             named=",".join(
                 f"{self.digest(run.request)}:{run.stage.name.lower()}"
-                for run in check.runs[:MOST_NAMED]
+                for run in check.runs[:MAX_NAMED_RUNS]
             ),
         )
 
     def digest(self, request: ServedRequest) -> str:
-        """Return the name of a request's content; empty while nodes share no key."""
+        """Return the digest of a request's content; empty until nodes share a key."""
         secret = self.shared.secret
         return request_digest(request, secret) if secret else ""
 
     def forget(self) -> None:
-        """Drop what is known of backend servers that have ended a while ago."""
+        """Drop old checks of crashed backend servers, and old crash records."""
         now_s = self.timer.now_s()
         for backend_id, check in list(self._checks.items()):
-            if check.has_ended and check.since_s < now_s - KEEP_S:
+            if check.has_crashed and check.since_s < now_s - ENDED_RETENTION_S:
                 del self._checks[backend_id]
-        self.quarantine.forget_told(now_s - OWN_KEEP_S)
+        self.quarantine.prune(now_s - UNSTORED_RETENTION_S)
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Stop checking, and stop writing rows."""
         await self._tasks.close()
-        await self.teller.close()
+        await self.row_writer.close()
--- a/packages/serving/src/fordhatch/serving/_demand_meter.py
+++ b/packages/serving/src/fordhatch/serving/_demand_meter.py
@@ -1,4 +1,4 @@
-"""What the callers of this node ask of each model, lately."""
+"""Recent demand for each model from the callers of this node."""
 
 from __future__ import annotations
 
@@ -10,47 +10,49 @@
 from fordhatch.core import Timer
 
 WINDOW_S = 1.0
-"""Time over which requests count, the newest most: a burst shows within a second."""
+"""Time constant of the exponential decay of counts, in seconds. A burst shows within a
+second."""
 
 LENGTH_SMOOTHING = 0.05
-"""Weight of the newest answer in the usual length of a route's answers; lengths spread
-by as much as they are long, and do not change within seconds."""
+"""Weight of the newest answer in the moving average of a route's answer length. Lengths
+vary by as much as their mean, and the mean does not change within seconds."""
 
-LEAST_WINDOW_S = 0.5
-"""A meter that has counted for less than this says less than there is: one request
-within its first millisecond would count for thousands."""
+MIN_WINDOW_S = 0.5
+"""Shortest time that counts are divided by, in seconds. Without it, one request within
+the first millisecond of a meter would count as thousands a second."""
 
-MOST_OF_USUAL = 8.0
-"""A prompt counts for this many usual ones at the most: its length is the caller's
-word, and one caller's must not move groups from one model to another. Prompts that
-spread as far as they are long are cut in one of a hundred."""
+MAX_PROMPT_RATIO = 8.0
+"""Maximum length that a prompt is counted with, as a multiple of the typical length.
+Callers state the length themselves, and a wrong one must not move groups from one model
+to another. If lengths vary by as much as their mean, one prompt in a hundred is
+capped."""
 
 
 @attrs.define
 class _Count:
-    """Sums that decay with time."""
+    """Sums that decay exponentially with time."""
 
     at_s: float
     requests: float = 0.0
     busy_s: float = 0.0
 
     def decay(self, now_s: float) -> None:
-        """Let what has been counted fade up to now."""
-        kept = math.exp(-max(now_s - self.at_s, 0.0) / WINDOW_S)
-        self.requests *= kept
-        self.busy_s *= kept
+        """Apply the decay up to now."""
+        remaining = math.exp(-max(now_s - self.at_s, 0.0) / WINDOW_S)
+        self.requests *= remaining
+        self.busy_s *= remaining
         self.at_s = now_s
 
 
 @attrs.define(eq=False, repr=False)
 class DemandMeter:
-    """Counts requests for models as they arrive, whatever becomes of them."""
+    """Counts requests for models on arrival, whatever their outcome."""
 
     timer: Timer
     _since_s: float = -math.inf
     _counts: dict[ModelKey, _Count] = attrs.field(factory=dict)
     _answer_tokens: dict[str, float] = attrs.field(factory=dict)
-    """Usual length of the answers of each route."""
+    """Moving average of the answer length of each route, in tokens."""
 
     def arrived(
         self,
@@ -63,8 +65,8 @@
 
         Args:
             key: Its service and model.
-            route: Its route; answers of one route are about equally long.
-            profile: Times of the service's engine.
+            route: Its route; answers of one route have about the same length.
+            profile: Timing of the service's engine.
             prompt_tokens: Length of its prompt.
         """
         model = profile.model(key[1])
@@ -77,17 +79,18 @@
         count.decay(now_s)
         answer_tokens = self._answer_tokens.get(route, profile.usual_answer_tokens)
         if profile.usual_prompt_tokens > 0:
-            most_tokens = MOST_OF_USUAL * profile.usual_prompt_tokens
-            prompt_tokens = min(prompt_tokens, int(most_tokens))
+            limit_tokens = MAX_PROMPT_RATIO * profile.usual_prompt_tokens
+            prompt_tokens = min(prompt_tokens, int(limit_tokens))
         count.requests += 1
         count.busy_s += profile.busy_s(model, prompt_tokens, answer_tokens)
 
     def answered(self, route: str, profile: EngineProfile, events: int) -> None:
-        """Note how long a whole answer was.
+        """Record the length of a complete answer.
 
         Args:
             route: The route of its request.
-            profile: The engine; an event holds as many tokens as a pass makes steps.
+            profile: The engine; an event holds one token for each step of a forward
+                pass.
             events: Events of the answer.
         """
         tokens = float(events * profile.stride)
@@ -95,13 +98,15 @@
         self._answer_tokens[route] = usual + LENGTH_SMOOTHING * (tokens - usual)
 
     def demand(self) -> dict[ModelKey, ModelDemand]:
-        """Return what is asked of each model now."""
+        """Return the current demand for each model."""
         now_s = self.timer.now_s()
-        # A meter that has just begun has seen less than its window.
-        seen = -math.expm1(-(now_s - self._since_s) / WINDOW_S)
-        window_s = max(WINDOW_S * seen, LEAST_WINDOW_S)
-        found: dict[ModelKey, ModelDemand] = {}
+        # A meter that has just started has covered only a part of its window.
+        coverage = -math.expm1(-(now_s - self._since_s) / WINDOW_S)
+        window_s = max(WINDOW_S * coverage, MIN_WINDOW_S)
+        demands: dict[ModelKey, ModelDemand] = {}
         for key, count in self._counts.items():
             count.decay(now_s)
-            found[key] = ModelDemand(count.requests / window_s, count.busy_s / window_s)
-        return found
+            demands[key] = ModelDemand(
+                count.requests / window_s, count.busy_s / window_s
+            )
+        return demands
--- a/packages/serving/src/fordhatch/serving/_group_progress.py
+++ b/packages/serving/src/fordhatch/serving/_group_progress.py
@@ -1,4 +1,4 @@
-"""When the streams of each group last made progress, as this node sees it."""
+"""Time since the streams of each group last made progress, as observed by this node."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from fordhatch.core import Timer
 
 SILENCE_FLOOR_S = 0.35
-"""Shortest silence that means anything: a lost packet alone delays by a fifth of a
-second and more."""
+"""Shortest silence that indicates a fault, in seconds; a single lost packet delays an
+event by a fifth of a second or more."""
 
 SILENCE_PASSES = 4.0
-"""A group that works ends a pass over its requests within its own time, a few prompts
-included; this many passes without an event are not explained by that."""
+"""Forward passes without an event that a working group cannot explain. It completes a
+pass over its requests within its own pass time, including a few prompts."""
 
 FIRST_SILENCES = 1.5
-"""A run may wait for its first event at least for this many silences: it stands behind
-the prompts of others."""
+"""Minimum wait for the first event of a run, in silence limits; the run queues behind
+the prompts of other requests."""
 
-FIRST_FACTOR = 3.0
-"""Waits for the first event spread about this far above the usual one."""
+FIRST_EVENT_FACTOR = 3.0
+"""Multiple of the usual wait for the first event that most waits stay below."""
 
 FIRST_MOST_S = 1.4
-"""Longest wait for the first event at a group from which nothing else comes; callers
-give up after two seconds."""
+"""Longest wait for the first event from a group that sends nothing else, in seconds;
+callers give up after two seconds."""
 
-FIRST_SMOOTHING = 0.1
-"""Weight of the newest wait in the usual one: about twenty count."""
+FIRST_EVENT_SMOOTHING = 0.1
+"""Weight of the newest wait in the moving average; about twenty waits count."""
 
 
 def silence_s(profile: EngineProfile, model: str) -> float:
-    """Return how long a working group of a model may be silent, in seconds."""
+    """Return how long a working group of a model may send no event, in seconds."""
     found = profile.model(model)
     pace = found.pace if found is not None else 1.0
     chunk_s = profile.prefill_s(profile.chunk_tokens)
@@ -48,54 +48,56 @@
     head_id: str
     began_s: float
     is_flowing: bool = False
-    """Whether its first event has come."""
+    """Whether the first event has been received."""
     step: asyncio.Future[object] | None = None
-    """What it waits for."""
+    """The operation that the run waits for."""
     has_answer: bool = False
-    """Whether the head of its answer has come."""
+    """Whether the head of the answer has been received."""
 
 
 @attrs.define
 class _HeadProgress:
     last_s: float
-    """When an event of any stream came last, in monotonic seconds."""
+    """Time of the last event of any stream, in monotonic seconds."""
     flowing: int = 0
-    """Runs whose first event has come."""
+    """Runs that have received their first event."""
 
 
 @attrs.define(eq=False, repr=False)
 class GroupProgress:
-    """Progress by head, over all of this node's streams there.
+    """Progress by head, over all streams of this node there.
 
-    A run that waits for its first event may just stand in a queue; silence is only
-    what follows an event.
+    A run that waits for its first event may be queued, so silence is measured only
+    after an event.
     """
 
     timer: Timer
     _by_head: dict[str, _HeadProgress] = attrs.field(factory=dict)
-    _usual_first_s: dict[str, float] = attrs.field(factory=dict)
-    """Usual time to the first event by model."""
+    _usual_first_event_s: dict[str, float] = attrs.field(factory=dict)
+    """Moving average of the time to the first event by model, in seconds."""
 
     def began(self, head_id: str) -> RunProgress:
-        """Note a run that begins."""
+        """Start tracking a run at a head."""
         return RunProgress(head_id, self.timer.now_s())
 
     def advanced(self, run: RunProgress, model: str) -> None:
-        """Note an event of a run."""
+        """Record an event of a run."""
         now_s = self.timer.now_s()
         head = self._by_head.setdefault(run.head_id, _HeadProgress(now_s))
         head.last_s = now_s
         if not run.is_flowing:
             run.is_flowing = True
             head.flowing += 1
-            self._note_first(model, now_s - run.began_s)
+            self._record_first_event(model, now_s - run.began_s)
 
-    def _note_first(self, model: str, took_s: float) -> None:
-        usual_s = self._usual_first_s.get(model, took_s)
-        self._usual_first_s[model] = usual_s + FIRST_SMOOTHING * (took_s - usual_s)
+    def _record_first_event(self, model: str, took_s: float) -> None:
+        usual_s = self._usual_first_event_s.get(model, took_s)
+        self._usual_first_event_s[model] = usual_s + FIRST_EVENT_SMOOTHING * (
+            took_s - usual_s
+        )
 
     def ended(self, run: RunProgress) -> None:
-        """Count a run out."""
+        """Stop tracking a run."""
         if not run.is_flowing:
             return
         head = self._by_head[run.head_id]
@@ -104,16 +106,20 @@
             del self._by_head[run.head_id]
 
     def silent_for_s(self, head_id: str) -> float:
-        """Return how long nothing has come from a head that was sending, in seconds."""
+        """Return the time since the last event from a head, in seconds.
+
+        Returns:
+            The time; 0 if no running stream of this node has received an event there.
+        """
         head = self._by_head.get(head_id)
         return self.timer.now_s() - head.last_s if head is not None else 0.0
 
     def first_patience_s(self, profile: EngineProfile, model: str) -> float:
         """Return how long a run may wait for its first event, in seconds.
 
-        Longer than usual is also what a group takes that has got much work at once;
-        how long that is shows in what other runs of the model have waited.
+        A group that gets much work at once also takes longer than usual. The waits of
+        other runs of the model show how long that is.
         """
-        usual_s = self._usual_first_s.get(model, 0.0)
-        least_s = FIRST_SILENCES * silence_s(profile, model)
-        return min(max(least_s, FIRST_FACTOR * usual_s), FIRST_MOST_S)
+        usual_s = self._usual_first_event_s.get(model, 0.0)
+        min_s = FIRST_SILENCES * silence_s(profile, model)
+        return min(max(min_s, FIRST_EVENT_FACTOR * usual_s), FIRST_MOST_S)
--- a/packages/serving/src/fordhatch/serving/_head_choice.py
+++ b/packages/serving/src/fordhatch/serving/_head_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the group that a request for a model goes to."""
+"""Chooses the group that a request for a model is sent to."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 from ._stall_watch import StallWatch
 
 OTHER_ZONE_COST = 2.4
-"""What another availability zone counts against a group, in requests that all nodes
-together have in flight there: bytes between zones cost a little, waiting costs more.
-A node knows its own requests only, so that the more nodes there are, the less one of
-its own requests weighs against a zone: a fixed cost would send all requests of a zone
-to its own groups, however few there are."""
+"""Cost of a group in another availability zone, in requests that all nodes together
+have in flight there. Traffic between zones costs a little; waiting costs more.
 
-MOST_ZONE_COST = 0.3
-"""The same in own requests at the most, for systems of less than eight nodes."""
+A node knows only its own requests, so with more nodes each of its own requests stands
+for more requests in total, and the zone weighs less against it. A fixed cost would send
+all requests of a zone to its own groups, however few there are.
+"""
+
+MAX_ZONE_COST = 0.3
+"""Maximum of that cost in the node's own requests; applies to systems of less than
+eight nodes."""
 
 
 @attrs.define(eq=False, repr=False)
 class HeadChoice:
-    """Least requests in flight, as far as this node knows."""
+    """Selects the head with the fewest requests in flight from this node."""
 
     zone: str
     directory: BackendDirectory
@@ -36,29 +39,29 @@
     pressure: PressureBook
     rng: random.Random
     node_count: Callable[[], int]
-    """Returns how many nodes share the groups."""
+    """Returns the number of nodes that share the groups."""
 
     def choose(
         self, service: str, model: str, tried: Collection[str]
     ) -> BackendServer | None:
-        """Return the head of the group that should serve next, or None.
+        """Return the head of the group that should run a request next, or None.
 
         Args:
             service: The service.
-            model: The model that the request asks for.
-            tried: Heads that have failed this request already.
+            model: The model that the request names.
+            tried: Heads that have already failed this request.
         """
-        held = self.pressure.held()
-        living = self._living(service, model, tried)
-        heads = [head for head in living if head.backend_id not in held]
-        sound = [h for h in heads if not self._is_avoided(h)]
-        candidates = sound or heads
+        blocked = self.pressure.held()
+        available = self._available_heads(service, model, tried)
+        heads = [head for head in available if head.backend_id not in blocked]
+        healthy = [h for h in heads if not self._is_avoided(h)]
+        candidates = healthy or heads
         if not candidates:
             return None
-        other_zone = min(OTHER_ZONE_COST / max(self.node_count(), 1), MOST_ZONE_COST)
+        other_zone = min(OTHER_ZONE_COST / max(self.node_count(), 1), MAX_ZONE_COST)
         return min(candidates, key=lambda head: self._cost(head, other_zone))
 
-    def _living(
+    def _available_heads(
         self, service: str, model: str, tried: Collection[str]
     ) -> list[BackendServer]:
         return [
@@ -70,14 +73,14 @@
     def first_hold(
         self, service: str, model: str, tried: Collection[str]
     ) -> Hold | None:
-        """Return the hold that ends first, where all heads are held.
+        """Return the block that ends first, if all heads are blocked.
 
         Args:
             service: The service.
-            model: The model that the request asks for.
-            tried: Heads that have failed this request already.
+            model: The model that the request names.
+            tried: Heads that have already failed this request.
         """
-        return self.pressure.first_hold(self._living(service, model, tried))
+        return self.pressure.first_hold(self._available_heads(service, model, tried))
 
     def _is_avoided(self, head: BackendServer) -> bool:
         return self.health.is_avoided(head.backend_id) or self.stalls.is_avoided(head)
@@ -86,7 +89,7 @@
         cost = 1.0 + self.health.in_flight[head.backend_id]
         if head.zone != self.zone:
             cost += other_zone
-        # A slow group makes streams late even when it is empty: the square keeps
-        # all but the last requests away from it.
+        # A slow group delays streams even when it is idle. The square keeps nearly
+        # all requests away from it while other groups have capacity.
         cost *= self.health.slowness(head.backend_id) ** 2
         return cost + self.rng.random() * TIE_SHARE
--- a/packages/serving/src/fordhatch/serving/_permits.py
+++ b/packages/serving/src/fordhatch/serving/_permits.py
@@ -1,4 +1,4 @@
-"""Asks for leave to send a request to a backend server that has named a limit."""
+"""Obtains permits for requests to backend servers that have declared a rate limit."""
 
 from __future__ import annotations
 
@@ -9,42 +9,43 @@
 from fordhatch.catalog import BackendServer
 from fordhatch.core import Timer, log_event, metrics
 
-from ._permit_issuer import Permit, PermitIssuer, issuers, rank_share
+from ._permit_issuer import Permit, PermitIssuer, issuers, rank_fraction
 from ._pressure_book import Hold, PressureBook, ServerLimit
 
-MOST_ISSUERS = 3
-"""Nodes that may issue the permits of one backend server, one in place of the other."""
+MAX_ISSUERS = 3
+"""Nodes that may issue permits for one backend server, each the fallback of the one
+before."""
 
-UNREACHABLE_S = 2.0
-"""How long an issuer that did not answer is passed over; twice as long after each
-further time."""
+UNREACHABLE_PAUSE_S = 2.0
+"""How long an issuer is skipped after it did not answer, in seconds; doubles with each
+consecutive failure."""
 
-UNREACHABLE_MOST_S = 16.0
-"""The same at the most."""
+MAX_UNREACHABLE_PAUSE_S = 16.0
+"""Upper bound of that time, in seconds."""
 
-AskPermit = Callable[[str, ServerLimit], Awaitable[Permit | None]]
-"""Asks a node by its name; None if it does not answer."""
+PermitRequester = Callable[[str, ServerLimit], Awaitable[Permit | None]]
+"""Requests a permit from a node, given by name; returns None if it does not answer."""
 
 
 @attrs.frozen
-class _Silence:
-    """An issuer that does not answer."""
+class _Unreachable:
+    """An issuer that did not answer."""
 
     until_s: float
-    """Before this it is not asked again."""
-    pause_s: float = UNREACHABLE_S
+    """Until then no permit is requested from it, in monotonic seconds."""
+    pause_s: float = UNREACHABLE_PAUSE_S
 
 
-async def _ask_nobody(_: str, __: ServerLimit) -> Permit | None:
+async def _request_nothing(_: str, __: ServerLimit) -> Permit | None:
     return None
 
 
 @attrs.define(eq=False, repr=False)
 class Permits:
-    """One door for all requests to backend servers that have named a limit.
+    """Admission control for backend servers that have declared a rate limit.
 
-    A limit is for all nodes together, and none of them sees what the others send: so
-    one node, found from the server's name, counts for all.
+    A limit applies to all nodes together, and no node sees the requests of the others.
+    One node, derived from the name of the backend server, counts for all of them.
     """
 
     node_name: str
@@ -53,30 +54,30 @@
     issuer: PermitIssuer
     nodes: Callable[[], Collection[str]]
     """Returns the names of all nodes."""
-    ask: AskPermit = _ask_nobody
-    _silent: dict[str, _Silence] = attrs.field(factory=dict)
-    """Issuers that do not answer, by name."""
+    ask: PermitRequester = _request_nothing
+    _unreachable: dict[str, _Unreachable] = attrs.field(factory=dict)
+    """Issuers that did not answer, by name."""
 
     async def take(self, backend: BackendServer) -> bool:
-        """Return whether a request may go to a backend server now."""
+        """Return whether a request may be sent to a backend server now."""
         limit = self.pressure.limit(backend.backend_id)
         if limit is None:
             return True
-        if self.pressure.is_held(backend.backend_id):
+        if self.pressure.is_blocked(backend.backend_id):
             return False
-        permit = await self._permit(limit)
+        permit = await self._obtain_permit(limit)
         metrics.PERMITS.labels("granted" if permit.is_granted else "denied").inc()
         if not permit.is_granted:
-            self.pressure.hold_off(backend.backend_id, permit.again_s)
+            self.pressure.block(backend.backend_id, permit.again_s)
         return permit.is_granted
 
     def log_hold(self, request_id: str, hold: Hold, *, waits: bool) -> None:
-        """Tell of a request that a held backend server does not get now.
+        """Log and count a request that no backend server accepts now.
 
         Args:
             request_id: The request.
-            hold: The hold that ends first of those of all servers it could go to.
-            waits: Whether it waits for the end of the hold.
+            hold: The block that ends first, of all backend servers that it could go to.
+            waits: Whether the request waits for the end of the block.
         """
         outcome = "waited" if waits else "refused"
         metrics.SENDS_HELD.labels(hold.kind.value, outcome).inc()
@@ -89,68 +90,68 @@
             outcome=outcome,
         )
 
-    async def _permit(self, limit: ServerLimit) -> Permit:
+    async def _obtain_permit(self, limit: ServerLimit) -> Permit:
         nodes = self.nodes()
-        for rank, node in enumerate(issuers(limit.backend_id, nodes, MOST_ISSUERS)):
+        for rank, node in enumerate(issuers(limit.backend_id, nodes, MAX_ISSUERS)):
             if node == self.node_name:
-                return self._own(limit, rank_share(rank))
-            permit = await self._ask(node, limit)
+                return self._issue_locally(limit, rank_fraction(rank))
+            permit = await self._request_permit(node, limit)
             if permit is not None:
                 return permit
-        # Out of reach of all of them it keeps to its part of the limit.
-        return self._own(limit, 1.0 / max(len(nodes), 1))
+        # No issuer is reachable: keep to this node's fraction of the limit.
+        return self._issue_locally(limit, 1.0 / max(len(nodes), 1))
 
-    async def _ask(self, node: str, limit: ServerLimit) -> Permit | None:
+    async def _request_permit(self, node: str, limit: ServerLimit) -> Permit | None:
         now_s = self.timer.now_s()
-        silence = self._silent.get(node)
-        if silence is not None and silence.until_s > now_s:
+        unreachable = self._unreachable.get(node)
+        if unreachable is not None and unreachable.until_s > now_s:
             return None
         permit = await self.ask(node, limit)
         if permit is not None:
-            self._silent.pop(node, None)
+            self._unreachable.pop(node, None)
             return permit
         metrics.PERMITS.labels("unanswered").inc()
         log_event("permit_unanswered", issuer=node, backend=limit.backend_id)
-        pause_s = UNREACHABLE_S
-        if silence is not None:
-            pause_s = min(2.0 * silence.pause_s, UNREACHABLE_MOST_S)
-        self._silent[node] = _Silence(now_s + pause_s, pause_s)
+        pause_s = UNREACHABLE_PAUSE_S
+        if unreachable is not None:
+            pause_s = min(2.0 * unreachable.pause_s, MAX_UNREACHABLE_PAUSE_S)
+        self._unreachable[node] = _Unreachable(now_s + pause_s, pause_s)
         return None
 
-    def _own(self, limit: ServerLimit, share: float) -> Permit:
-        return self.issuer.give(
+    def _issue_locally(self, limit: ServerLimit, fraction: float) -> Permit:
+        return self.issuer.issue(
             limit.backend_id,
             limit.per_s,
             self.node_name,
             self.timer.now_s(),
-            share=share,
+            fraction=fraction,
         )
 
     def asked_by(self, node: str, limit: ServerLimit) -> Permit:
         """Return a permit for another node.
 
         Args:
-            node: Its name.
-            limit: The limit as it knows it; a newer one is taken over.
+            node: The name of the node.
+            limit: The limit as known to that node; applied here if it is newer.
         """
         self.pressure.take_limit(limit)
         known = self.pressure.limit(limit.backend_id)
         if known is None:
-            # The server has said since that it has none any more.
+            # The backend server has withdrawn its limit since.
             return Permit(is_granted=True)
-        ranked = issuers(limit.backend_id, self.nodes(), MOST_ISSUERS)
+        ranked = issuers(limit.backend_id, self.nodes(), MAX_ISSUERS)
         rank = ranked.index(self.node_name) if self.node_name in ranked else len(ranked)
-        return self.issuer.give(
+        return self.issuer.issue(
             limit.backend_id,
             known.per_s,
             node,
             self.timer.now_s(),
-            share=rank_share(rank),
+            fraction=rank_fraction(rank),
         )
 
     def keep_only(self, backend_ids: set[str]) -> None:
-        """Forget backend servers that are gone."""
+        """Drop the state of backend servers and nodes that are no longer listed."""
         self.pressure.keep_only(backend_ids)
         self.issuer.keep_only(backend_ids)
-        for node in self._silent.keys() - set(self.nodes()):
-            del self._silent[node]
+        for node in self._unreachable.keys() - set(self.nodes()):
+            del self._unreachable[node]
--- a/packages/serving/src/fordhatch/serving/_quarantine.py
+++ b/packages/serving/src/fordhatch/serving/_quarantine.py
@@ -1,7 +1,8 @@
-"""Requests that end the backend servers that run them, and are run no more.
+"""Quarantine of requests that crash the backend servers that run them.
 
-Such a content (a poison message, a query of death) comes again in other tries, at other
-nodes. It is judged by what all nodes have seen, as one node sees only some of it.
+The content of such a request (its path, caller and body) is a poison message, or query
+of death. It is submitted again in other attempts and at other nodes. The decision uses
+the crashes that all nodes have seen, as a single node sees only some of them.
 """
 
 from __future__ import annotations
@@ -16,40 +17,41 @@
 from ._request import ServedRequest
 
 QUARANTINE_CRASHES = 3
-"""A content under which this many backend servers have ended is not run again. One may
-end for a reason of its own, with a dozen others at work; that a sound request is there
-twice more is rare, and one whole answer of it clears it."""
+"""A content is not run again once this many backend servers have crashed under it. One
+of them may have crashed for another reason, while running a dozen other requests. A
+sound request is rarely present at two more crashes, and one complete answer clears
+it."""
 
 QUARANTINE_WEIGHT = 2 * RunStage.BEGUN
-"""With two ends it is held back if this much speaks against it: both times the answer
-had begun and nothing had come of it. That was so of one run at each of 28 ends, and of
-none of nine runs at ends from outside. Each server that is spared is a group's worth of
-others' requests."""
+"""With two crashes, a content is quarantined from this weight: both times the answer
+had begun, and no event had been received. At each of 28 crashes one run was in this
+state; of nine runs at crashes with an external cause, none was. Each crash that is
+avoided spares the other requests of a whole group."""
 
-MOST_OWN = 500
-"""Crashes that a node remembers by itself while the store does not take them."""
+MAX_OWN_CRASHES = 500
+"""Crashes that a node remembers itself while the store does not accept them."""
 
 
 def judge(crashes: Mapping[str, Mapping[str, RunStage]]) -> frozenset[str]:
     """Return the contents that must not be run again.
 
-    A backend server that ends takes all of its runs with it, so that sound requests are
-    seen at crashes, too. The one against which most speaks is taken for their cause,
-    and those crashes no longer speak against the others that were there.
+    A backend server that crashes takes all of its runs with it, so sound requests are
+    present at crashes too. The content with the highest weight is taken as the cause,
+    and the crashes that it explains no longer count against the other contents.
 
     Args:
-        crashes: By content, the backend servers that have ended under it, and how far
-            it had come there.
+        crashes: By content, the backend servers that crashed under it, and the stage
+            that its run had reached there.
     """
     left = {digest: dict(seen) for digest, seen in crashes.items()}
     found: set[str] = set()
     while True:
-        suspects = [d for d, seen in left.items() if _is_enough(seen)]
+        suspects = [d for d, seen in left.items() if _is_sufficient(seen)]
         if not suspects:
             return frozenset(found)
-        most = max(_weight(left[d]) for d in suspects)
-        # What nothing tells apart is all held back.
-        causes = [d for d in suspects if _weight(left[d]) == most]
+        max_weight = max(_weight(left[d]) for d in suspects)
+        # Contents of equal weight cannot be told apart: quarantine all of them.
+        causes = [d for d in suspects if _weight(left[d]) == max_weight]
         explained = {backend for d in causes for backend in left.pop(d)}
         found.update(causes)
         for seen in left.values():
@@ -57,7 +59,7 @@
                 del seen[backend]
 
 
-def _is_enough(seen: Mapping[str, RunStage]) -> bool:
+def _is_sufficient(seen: Mapping[str, RunStage]) -> bool:
     return len(seen) >= QUARANTINE_CRASHES or (
         len(seen) > 1 and _weight(seen) >= QUARANTINE_WEIGHT
     )
@@ -69,57 +71,61 @@
 
 @attrs.define(eq=False, repr=False)
 class Quarantine:
-    """What is known of contents under which backend servers have ended."""
+    """Known crashes by content, and the contents that they quarantine."""
 
     shared: SharedRows
     digest: Callable[[ServedRequest], str]
-    """Names a request's content; empty while that is not possible."""
+    """Returns the digest of a request's content; empty while that is not possible."""
     own: dict[CrashKey, CrashRecord] = attrs.field(factory=dict)
-    """Crashes that this node has seen, or heard of from another node, and that may not
-    be in the store."""
-    _untold: set[CrashKey] = attrs.field(factory=set)
-    """Those of them that no other node knows."""
+    """Crashes that this node has seen or another node has reported, and that may not be
+    in the store."""
+    _unpublished: set[CrashKey] = attrs.field(factory=set)
+    """Keys of those that no other node knows of."""
     _subscribers: list[Callable[[frozenset[str]], None]] = attrs.field(factory=list)
-    _held: frozenset[str] = frozenset()
+    _quarantined: frozenset[str] = frozenset()
     _judged_at: tuple[int, int] = (0, 0)
     _own_changes: int = 0
 
-    def holds(self, request: ServedRequest) -> bool:
+    def is_quarantined(self, request: ServedRequest) -> bool:
         """Return whether a request must not be run."""
-        if not self.is_anything_known():
+        if not self.has_crashes():
             return False
         return self.digest(request) in self._judged()
 
     def why_not(self, request: ServedRequest) -> Failure | None:
-        """Return why a request must not be run, or None."""
-        if not self.holds(request):
+        """Return the failure for a request that must not be run, or None."""
+        if not self.is_quarantined(request):
             return None
         return Failure.from_code(ResultCode.REQUEST_QUARANTINED)
 
-    def subscribe(self, call: Callable[[frozenset[str]], None]) -> None:
-        """Call back with contents that are held back from now on."""
-        self._subscribers.append(call)
+    def subscribe(self, callback: Callable[[frozenset[str]], None]) -> None:
+        """Register a callback for contents that are newly quarantined."""
+        self._subscribers.append(callback)
 
     def refresh(self) -> None:
-        """Judge anew if anything has changed, so that runs under way can be stopped."""
-        if self.is_anything_known():
+        """Re-evaluate after a change, so that active runs can be stopped."""
+        if self.has_crashes():
             self._judged()
 
-    def is_anything_known(self) -> bool:
-        """Return whether any crash is known; without one nothing need be named."""
+    def has_crashes(self) -> bool:
+        """Return whether any crash is known; if not, no digests need to be computed."""
         return bool(self.own or self.shared.crashes)
 
     def crashes(self, digest: str) -> dict[str, RunStage]:
-        """Return the backend servers that have ended under a content."""
-        return {b: stage for (d, b), stage in self._all() if d == digest}
+        """Return the stage that a content had reached at each of its crashes.
+
+        Returns:
+            Stages by the id of the backend server that crashed.
+        """
+        return {b: stage for (d, b), stage in self._all_crashes() if d == digest}
 
     def is_suspect(self, request: ServedRequest) -> bool:
-        """Return whether one more crash may hold a request back."""
-        if not self.is_anything_known():
+        """Return whether one more crash could quarantine a request."""
+        if not self.has_crashes():
             return False
         return bool(self.crashes(self.digest(request)))
 
-    def _all(self) -> Iterator[tuple[CrashKey, RunStage]]:
+    def _all_crashes(self) -> Iterator[tuple[CrashKey, RunStage]]:
         for key, record in self.own.items():
             yield key, record.stage
         for key, record in self.shared.crashes.items():
@@ -127,35 +133,35 @@
                 yield key, record.stage
 
     def _judged(self) -> frozenset[str]:
-        """Return the contents that are held back, judged anew after a change."""
+        """Return the quarantined contents, re-evaluated after a change."""
         changes = (self.shared.crash_changes, self._own_changes)
         if changes != self._judged_at:
             self._judged_at = changes
             self._judge()
-        return self._held
+        return self._quarantined
 
     def _judge(self) -> None:
         by_digest: dict[str, dict[str, RunStage]] = {}
-        for (digest, backend_id), stage in self._all():
+        for (digest, backend_id), stage in self._all_crashes():
             by_digest.setdefault(digest, {})[backend_id] = stage
-        before, self._held = self._held, judge(by_digest)
-        metrics.QUARANTINED_CONTENTS.set(len(self._held))
-        for digest in self._held - before:
+        before, self._quarantined = self._quarantined, judge(by_digest)
+        metrics.QUARANTINED_CONTENTS.set(len(self._quarantined))
+        for digest in self._quarantined - before:
             backends = ",".join(by_digest[digest])
             log_event("content_quarantined", digest=digest, backends=backends)
-        for digest in before - self._held:
+        for digest in before - self._quarantined:
             log_event("content_released", digest=digest)
-        if self._held - before:
-            for call in self._subscribers:
-                call(self._held - before)
+        if self._quarantined - before:
+            for callback in self._subscribers:
+                callback(self._quarantined - before)
 
     def observe(self, record: CrashRecord) -> None:
-        """Note that this node has seen a backend server end under a content."""
-        self._untold.add(record.key)
+        """Record a crash of a backend server under a content, seen by this node."""
+        self._unpublished.add(record.key)
         self._add(record)
 
     def hear(self, records: Iterable[CrashRecord]) -> list[CrashRecord]:
-        """Note what another node has seen; return what is new here."""
+        """Record crashes reported by another node; return those that are new here."""
         new = [
             record
             for record in records
@@ -167,37 +173,37 @@
 
     def _add(self, record: CrashRecord) -> None:
         self.own[record.key] = record
-        while len(self.own) > MOST_OWN:
+        while len(self.own) > MAX_OWN_CRASHES:
             self._drop(next(iter(self.own)))
         self._own_changes += 1
         self.refresh()
 
     def _drop(self, key: CrashKey) -> None:
         del self.own[key]
-        self._untold.discard(key)
+        self._unpublished.discard(key)
         self._own_changes += 1
 
-    def take_untold(self, digest: str) -> list[CrashRecord]:
-        """Return what only this node knows of a content, which counts as told then."""
-        keys = [key for key in self._untold if key[0] == digest]
-        self._untold.difference_update(keys)
+    def take_unpublished(self, digest: str) -> list[CrashRecord]:
+        """Return the unpublished crashes of a content, and mark them as published."""
+        keys = [key for key in self._unpublished if key[0] == digest]
+        self._unpublished.difference_update(keys)
         return [self.own[key] for key in keys]
 
     def clear(self, digest: str) -> list[CrashKey]:
-        """Forget what speaks against a content that was answered whole.
+        """Drop the crashes of a content that got a complete answer.
 
         Returns:
-            What the store still holds against it.
+            Keys of its crashes that are still in the store.
         """
         for key in [k for k in self.own if k[0] == digest]:
             self._drop(key)
         return [k for k in self.shared.crashes if k[0] == digest]
 
-    def forget_told(self, before_s: float) -> None:
-        """Leave to the store what it holds, and forget what is old.
+    def prune(self, before_s: float) -> None:
+        """Drop crashes that are in the store by now, and old ones.
 
         Args:
-            before_s: What was seen earlier is forgotten; monotonic seconds.
+            before_s: Crashes seen earlier are dropped; monotonic seconds.
         """
         for key, record in list(self.own.items()):
             if key in self.shared.crashes or record.seen_s < before_s:
--- a/packages/serving/src/fordhatch/serving/_stall_watch.py
+++ b/packages/serving/src/fordhatch/serving/_stall_watch.py
@@ -1,4 +1,4 @@
-"""Groups that are silent: avoided here, and reported if a member is lost or slow."""
+"""Detects silent groups, and reports those with a lost or slow member."""
 
 from __future__ import annotations
 
@@ -20,48 +20,49 @@
 )
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for the row that tells the others."""
+"""Longest wait for the store to accept a report, in seconds."""
 
 LOCAL_AVOID_S = 1.5
-"""How long this node avoids a silent group by itself: it may be slow, and then
-others serve better, but it is not lost."""
+"""How long this node alone avoids a silent group, in seconds. The group may only be
+slow, in which case other groups serve faster, but it is not lost."""
 
-CHECK_AGAIN_S = 1.5
-"""A group whose members were asked is not asked about again sooner."""
+MIN_CHECK_INTERVAL_S = 1.5
+"""Minimum time between two checks of a group's members, in seconds."""
 
 SLOW_AGAIN_S = 4.0
-"""The same where its streams go on, but slowly: it may only have much to do, and each
-look costs a report of each member."""
+"""The same for a group whose streams continue slowly, in seconds. It may only be
+loaded, and each check costs a report from each member."""
 
 CHECK_SPREAD_S = 0.1
-"""Nodes that see the same group fall silent look into it within this time, each at a
-moment of its own: the first one's word spares the others theirs."""
+"""Time over which nodes spread their checks of a group that falls silent, in seconds.
+The report of the first node makes the checks of the others unnecessary."""
 
-LOOK_AGAIN_S = 1.2
-"""How often the missed members of a group are asked again that this node has found to
-be lost. While the store is away nobody takes the group apart, and each request that is
-sent there to find out is late."""
+LOST_POLL_INTERVAL_S = 1.2
+"""How often the missing members of a group that this node has found to be lost are
+probed, in seconds. While the store is unavailable the planner does not dissolve the
+group, and each request that is sent there as a test is late."""
 
 SLOW_PACE = 2.0
-"""A member whose work takes this many times longer than usual makes its group's streams
-late even when nothing waits there: first events are due within twice or three times
-what they take."""
+"""Pace (duration of its work relative to usual) from which a member is slow. Its group
+delays streams even when it is idle: the objective for the first event is two to three
+times its usual time."""
 
-HOLD_S = 4.0
-"""How long a group counts as lost by another node's word: the planner takes it apart
-or finds it alive within a second, unless it is out of reach itself."""
+SUSPICION_VALIDITY_S = 4.0
+"""How long a group counts as lost because another node reported it, in seconds. The
+planner dissolves the group or finds it working within a second, unless the planner
+itself is unreachable."""
 
-Key = tuple[str, int]
+GroupKey = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class StallWatch:
-    """Silent groups, as this node and the others have seen them.
+    """Silent groups, as observed by this node and reported by others.
 
     Under load a group may be silent for longer than its pace explains. If every node
-    reported each such group, all requests would go to the remaining ones, which would
-    fall silent in turn. So a group is reported as lost only if a member of it does not
-    answer, and its members as slow only by their own reports.
+    reported each such group, all requests would go to the remaining groups, which would
+    fall silent in turn. So a group is reported as lost only if one of its members does
+    not answer a probe, and a member as slow only by its own report.
     """
 
     node_name: str
@@ -70,16 +71,16 @@
     backends: BackendClient
     shared: SharedRows
     directory: BackendDirectory
-    _avoided: dict[Key, float] = attrs.field(factory=dict)
-    _checked_s: dict[Key, float] = attrs.field(factory=dict)
-    _lost_since_s: dict[Key, float] = attrs.field(factory=dict)
-    """When this node first looked at the word of another node, or its own."""
-    _found_lost: set[Key] = attrs.field(factory=set)
-    """Groups that lack a member, as this node itself has found."""
+    _avoided: dict[GroupKey, float] = attrs.field(factory=dict)
+    _checked_s: dict[GroupKey, float] = attrs.field(factory=dict)
+    _lost_since_s: dict[GroupKey, float] = attrs.field(factory=dict)
+    """When this node first used a report of a lost group, its own or another node's."""
+    _found_lost: set[GroupKey] = attrs.field(factory=set)
+    """Groups that this node itself has found to lack a member."""
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def is_lost(self, head: BackendServer) -> bool:
-        """Return whether some node has found that a head's group lacks a member."""
+        """Return whether a node has found that a head's group lacks a member."""
         if head.membership is None:
             return True
         key = head.membership.key
@@ -88,26 +89,26 @@
         if key not in self.shared.suspicions:
             return False
         now_s = self.timer.now_s()
-        return now_s - self._lost_since_s.setdefault(key, now_s) < HOLD_S
+        return now_s - self._lost_since_s.setdefault(key, now_s) < SUSPICION_VALIDITY_S
 
     def is_avoided(self, head: BackendServer) -> bool:
-        """Return whether a head was silent lately, as far as this node knows."""
+        """Return whether this node avoids a head because it was silent recently."""
         key = head.membership.key
         return self._avoided.get(key, 0.0) > self.timer.now_s()
 
     def silent(self, head: BackendServer) -> None:
-        """Take note that nothing comes from a head; others go first for a while."""
+        """Avoid a silent head for a while, and check its group."""
         if head.membership is None:
             return
         self._avoided[head.membership.key] = self.timer.now_s() + LOCAL_AVOID_S
         self.check(head)
 
-    def check(self, head: BackendServer, again_s: float = CHECK_AGAIN_S) -> None:
-        """Find out whether the group of a head has a lost or slow member, and tell.
+    def check(self, head: BackendServer, again_s: float = MIN_CHECK_INTERVAL_S) -> None:
+        """Start a check for lost or slow members of a group, and report them.
 
         Args:
             head: The head of the group.
-            again_s: Its members are not asked again sooner than this.
+            again_s: Minimum time since the last check of the group, in seconds.
         """
         if head.membership is None:
             return
@@ -126,7 +127,7 @@
         if key in self.shared.suspicions:
             return
         members = self._members(head)
-        answers = await self._ask(members)
+        answers = await self._probe(members)
         lost = [m for m in members if answers[m.backend_id] is None]
         missed = [m.backend_id for m in lost]
         slow = {b: pace for b, pace in answers.items() if pace and pace >= SLOW_PACE}
@@ -139,30 +140,30 @@
             slow=",".join(f"{b}:{pace:g}" for b, pace in slow.items()),
         )
         if not missed:
-            await self._tell_slow(slow)
+            await self._report_slow(slow)
             return
         if key not in self._found_lost:
             self._found_lost.add(key)
             self._tasks.spawn(self._until_whole(key, lost), f"lost-{key[0]}")
         if key not in self.shared.suspicions:
-            await self._tell(Suspicion(*key, self.node_name))
+            await self._report_lost(Suspicion(*key, self.node_name))
 
-    async def _until_whole(self, key: Key, lost: list[BackendServer]) -> None:
-        """Ask the missed members until they answer, or their group is gone."""
+    async def _until_whole(self, key: GroupKey, lost: list[BackendServer]) -> None:
+        """Probe the missing members until all of them answer or their group is gone."""
         try:
             while lost and key in self._found_lost:
-                await self.timer.sleep(self.timer.jittered(LOOK_AGAIN_S))
+                await self.timer.sleep(self.timer.jittered(LOST_POLL_INTERVAL_S))
                 lost = await self._missed(lost)
         finally:
             self._found_lost.discard(key)
 
     async def _missed(self, members: list[BackendServer]) -> list[BackendServer]:
-        """Return those of the members that do not answer."""
-        answers = await self._ask(members)
+        """Return the members that do not answer a probe."""
+        answers = await self._probe(members)
         return [m for m in members if answers[m.backend_id] is None]
 
-    async def _ask(self, members: list[BackendServer]) -> dict[str, float | None]:
-        """Return the pace of each member, None for one that does not answer."""
+    async def _probe(self, members: list[BackendServer]) -> dict[str, float | None]:
+        """Return the pace of each member by id; None for members that do not answer."""
         answers = await asyncio.gather(*(probe(self.backends, m) for m in members))
         return {
             m.backend_id: answer.unwrap().pace
@@ -171,12 +172,12 @@
             for m, answer in zip(members, answers, strict=True)
         }
 
-    async def _tell_slow(self, slow: dict[str, float]) -> None:
-        """Tell the other nodes, and the planner, of slow members."""
+    async def _report_slow(self, slow: dict[str, float]) -> None:
+        """Report slow members to the other nodes and the planner."""
         new = {b: pace for b, pace in slow.items() if b not in self.shared.slow}
         if not new:
             return
-        # Here it holds at once, the others hear of it from the store.
+        # Takes effect here at once; the other nodes read it from the store.
         self.shared.slow.update(new)
         puts = {RowKey(SHARED_TABLE, slow_key(b)): b"%g" % p for b, p in new.items()}
         written = await self.store.write({}, puts, timeout_s=WRITE_TIMEOUT_S)
@@ -188,7 +189,7 @@
         group = self.directory.groups(head.service).get(head.membership.key)
         return list(group.members.values()) if group is not None else [head]
 
-    async def _tell(self, suspicion: Suspicion) -> None:
+    async def _report_lost(self, suspicion: Suspicion) -> None:
         row = RowKey(SHARED_TABLE, suspicion_key(suspicion.group, suspicion.epoch))
         written = await self.store.write(
             {row: ABSENT}, {row: suspicion.to_bytes()}, timeout_s=WRITE_TIMEOUT_S
@@ -197,13 +198,13 @@
             error = written.err().message
             log_event("suspicion_not_told", group=suspicion.group, error=error)
 
-    def keep_only(self, groups: set[Key]) -> None:
-        """Forget groups that are gone."""
+    def keep_only(self, groups: set[GroupKey]) -> None:
+        """Drop the state of groups that no longer exist."""
         for since in (self._avoided, self._checked_s, self._lost_since_s):
             for key in set(since) - groups:
                 del since[key]
         self._found_lost &= groups
 
     async def close(self) -> None:
-        """Stop asking and telling."""
+        """Stop probing and reporting."""
         await self._tasks.close()
--- a/packages/serving/tests/test_crash_teller.py
+++ b/packages/serving/tests/test_crash_teller.py
@@ -1,4 +1,4 @@
-"""Rows about crashes reach the store, in few calls, also after an outage."""
+"""Crash rows reach the store in few calls, also after an outage."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from fordhatch.core import Timer
 from fordhatch.registry import SHARED_TABLE, CrashRecord, RunStage
-from fordhatch.serving._crash_teller import MOST_WAITING, PAUSE_S, CrashTeller
+from fordhatch.serving._crash_teller import BATCH_PAUSE_S, MAX_PENDING_ROWS, CrashTeller
 from fordhatch_standins import MemoryStoreClient, StoreModel
 
 
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.model = StoreModel()
         self.client = MemoryStoreClient(self.model, "n1")
-        self.teller = CrashTeller(self.client, Timer.from_seed(1))
+        self.row_writer = CrashTeller(self.client, Timer.from_seed(1))
 
     def rows(self) -> list[str]:
         return [row.name[2] for row in self.model.page(SHARED_TABLE, "", 1000, "")]
@@ -32,20 +32,20 @@
 
 
 @pytest.mark.looptime
-async def test_many_rows_need_few_calls() -> None:
+async def test_many_rows_are_written_in_few_calls() -> None:
     store = Store()
     for number in range(200):
-        store.teller.tell([record(f"d{number}")])
-    await asyncio.sleep(10 * PAUSE_S)
+        store.row_writer.put([record(f"d{number}")])
+    await asyncio.sleep(10 * BATCH_PAUSE_S)
     assert len(store.rows()) == 200
     assert store.writes == 3
 
 
 @pytest.mark.looptime
-async def test_a_steady_stream_of_crashes_is_ten_calls_a_second() -> None:
+async def test_a_steady_stream_of_crashes_makes_ten_calls_a_second() -> None:
     store = Store()
     for number in range(500):
-        store.teller.tell([record(f"d{number}")])
+        store.row_writer.put([record(f"d{number}")])
         await asyncio.sleep(0.01)
     await asyncio.sleep(1.0)
     assert len(store.rows()) == 500
@@ -53,34 +53,34 @@
 
 
 @pytest.mark.looptime
-async def test_rows_are_written_when_the_store_is_back() -> None:
+async def test_rows_are_written_after_an_outage_of_the_store() -> None:
     store = Store()
     store.model.faults.is_down = True
-    store.teller.tell([record("a"), record("b")])
+    store.row_writer.put([record("a"), record("b")])
     await asyncio.sleep(5.0)
-    store.teller.take_back([("b", "x")])
+    store.row_writer.remove([("b", "x")])
     store.model.faults.is_down = False
     await asyncio.sleep(0.5)
     assert store.rows() == ["crash/a/x"]
 
 
 @pytest.mark.looptime
-async def test_a_row_that_is_taken_back_is_removed() -> None:
+async def test_a_written_row_can_be_removed() -> None:
     store = Store()
-    store.teller.tell([record("a"), record("b")])
+    store.row_writer.put([record("a"), record("b")])
     await asyncio.sleep(0.5)
-    store.teller.take_back([("a", "x")])
+    store.row_writer.remove([("a", "x")])
     await asyncio.sleep(0.5)
     assert store.rows() == ["crash/b/x"]
 
 
 @pytest.mark.looptime
-async def test_what_waits_for_the_store_is_bounded() -> None:
+async def test_pending_rows_are_bounded() -> None:
     store = Store()
     store.model.faults.is_down = True
-    for number in range(MOST_WAITING + 20):
-        store.teller.tell([record(f"d{number}")])
+    for number in range(MAX_PENDING_ROWS + 20):
+        store.row_writer.put([record(f"d{number}")])
     store.model.faults.is_down = False
     await asyncio.sleep(10.0)
-    assert len(store.rows()) == MOST_WAITING
+    assert len(store.rows()) == MAX_PENDING_ROWS
     assert "crash/d0/x" not in store.rows()
--- a/packages/serving/tests/test_crash_watch.py
+++ b/packages/serving/tests/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""A backend server that ends is told apart from a connection that breaks."""
+"""A crash of a backend server is distinguished from a broken connection."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 def logged():
     seen = []
     eliot.add_destinations(seen.append)
-    # The first destination of a process gets what was logged before, by other tests.
+    # The first destination of a process also receives messages of earlier tests.
     seen.clear()
     yield lambda event: [m for m in seen if m.get("message_type") == event]
     eliot.remove_destination(seen.append)
 
 
-def ends(site, *, after_events: int, stops_listening: bool = True):
-    """Return a script that breaks off, with its whole process or just once."""
+def breaks_off(site, *, after_events: int, stops_listening: bool = True):
+    """Return a script that aborts its connection, and may stop its whole server."""
 
     async def script(request, writer) -> None:
         writer.write(head(request))
@@ -44,10 +44,12 @@
 
 
 @pytest.mark.parametrize(("after_events", "stage"), [(0, "begun"), (2, "flowing")])
-async def test_who_was_at_work_is_logged(site, logged, after_events, stage) -> None:
+async def test_the_running_requests_are_logged(
+    site, logged, after_events, stage
+) -> None:
     site.model.put(SHARED_TABLE, SECRET_KEY, b"k" * 32)
     await site.until(lambda: site.view.shared.secret)
-    await site.add_backend(ends(site, after_events=after_events), group="small.1")
+    await site.add_backend(breaks_off(site, after_events=after_events), group="small.1")
     await site.add_backend(streams, group="small.2", zone="z2")
     await site.ask("/stream/1", body=b"a prompt")
     await site.until(lambda: logged("backend_ended"))
@@ -59,8 +61,8 @@
     assert "prompt" not in ended["named"]
 
 
-async def test_a_connection_that_breaks_is_no_end(site, logged) -> None:
-    script = ends(site, after_events=1, stops_listening=False)
+async def test_a_broken_connection_is_not_a_crash(site, logged) -> None:
+    script = breaks_off(site, after_events=1, stops_listening=False)
     await site.add_backend(script, group="small.1")
     good = await site.add_backend(streams, group="small.2", zone="z2")
     await site.ask("/stream/1")
@@ -69,9 +71,9 @@
     assert logged("backend_ended") == []
 
 
-async def test_who_falls_silent_may_be_there_where_nobody_answers(site, logged) -> None:
-    """A cut looks like this: the connection is reset, and questions get no answer."""
-    script = ends(site, after_events=1, stops_listening=False)
+async def test_an_unanswered_probe_is_not_a_crash(site, logged) -> None:
+    """A cut network resets the connection, and probes get no answer."""
+    script = breaks_off(site, after_events=1, stops_listening=False)
     bad = await site.add_backend(script, group="small.1")
     bad.report = None
     good = await site.add_backend(streams, group="small.2", zone="z2")
@@ -82,7 +84,7 @@
 
 
 def served(site, target: str, body: bytes, **changes: object) -> ServedRequest:
-    """Return a request as the node serves it."""
+    """Return a request as admitted by the node."""
     headers = {**CALL_HEADERS, "X-Attempt-Id": "r1"}
     admitted = site.callers.admission.admit(
         site.callers.admission.find_route("app.example", target).unwrap(),
@@ -96,7 +98,7 @@
     return admitted.unwrap()
 
 
-async def test_a_digest_names_path_caller_and_body_and_no_try(site) -> None:
+async def test_a_digest_covers_path_caller_and_body_but_not_the_attempt(site) -> None:
     key = b"k" * 32
     first = served(site, "/stream/a", b"x")
     again = served(site, "/stream/a", b"x", request_id="r2", last_event_id="7")
--- a/packages/serving/tests/test_demand_meter.py
+++ b/packages/serving/tests/test_demand_meter.py
@@ -1,4 +1,4 @@
-"""What a node counts of its callers' requests for models."""
+"""Demand for models as counted by a node from its callers' requests."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 KEY = ("llm", "small")
 
 
-async def ask(meter: DemandMeter, per_s: float, for_s: float, prompt: int) -> None:
+async def send_requests(
+    meter: DemandMeter, per_s: float, for_s: float, prompt: int
+) -> None:
     for _ in range(round(per_s * for_s)):
         meter.arrived(KEY, "check", PROFILE, prompt)
         await asyncio.sleep(1.0 / per_s)
 
 
-def test_the_rate_and_the_work_are_those_of_the_last_second() -> None:
+def test_rate_and_work_follow_the_last_second() -> None:
     async def scenario() -> None:
         meter = DemandMeter(Timer.from_seed(1))
-        await ask(meter, 20.0, 5.0, 1000)
+        await send_requests(meter, 20.0, 5.0, 1000)
         found = meter.demand()[KEY]
         assert found.requests_per_s == pytest.approx(20.0, rel=0.1)
         busy_s = PROFILE.busy_s(PROFILE.model("small"), 1000, 100)
@@ -36,7 +38,7 @@
     run_in_virtual_time(scenario())
 
 
-def test_one_request_at_the_start_is_not_taken_for_thousands() -> None:
+def test_one_request_at_the_start_does_not_count_as_thousands() -> None:
     async def scenario() -> None:
         meter = DemandMeter(Timer.from_seed(1))
         assert meter.demand() == {}
@@ -46,13 +48,13 @@
     run_in_virtual_time(scenario())
 
 
-def test_a_caller_that_claims_an_endless_prompt_counts_for_a_few() -> None:
+def test_a_declared_prompt_length_is_capped() -> None:
     async def scenario() -> None:
-        honest, greedy = DemandMeter(Timer()), DemandMeter(Timer())
+        honest, exaggerating = DemandMeter(Timer()), DemandMeter(Timer())
         honest.arrived(KEY, "check", PROFILE, 1000)
-        greedy.arrived(KEY, "check", PROFILE, 10**12)
-        most = 40 * honest.demand()[KEY].busy_groups
-        assert greedy.demand()[KEY].busy_groups < most
+        exaggerating.arrived(KEY, "check", PROFILE, 10**12)
+        limit = 40 * honest.demand()[KEY].busy_groups
+        assert exaggerating.demand()[KEY].busy_groups < limit
 
     run_in_virtual_time(scenario())
 
--- a/packages/serving/tests/test_head_choice.py
+++ b/packages/serving/tests/test_head_choice.py
@@ -1,9 +1,9 @@
-"""Pattern: many nodes, each of which sees few of the requests that groups have.
+"""Choice of groups by many nodes, each of which sees few of the groups' requests.
 
-195 nodes in five availability zones with two streams a second each; a stream takes
-0.75 s at its group. Losses leave zones with unequal numbers of groups: four in one, as
-after a fabric domain has gone dark, and twelve in the others. Nothing tells a node what
-the others have in flight.
+There are 195 nodes in five availability zones, with two streams a second each. A stream
+takes 0.75 s at its group. Zones have unequal numbers of groups: four in one zone, as
+after the failure of a fabric domain, and twelve in the others. No node knows how many
+requests the other nodes have in flight.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 from fordhatch_lab import run_in_virtual_time
 
 STREAM_S = 0.75
-PLAY_S = 20.0
-PER_NODE_S = 2.0
+SIMULATION_S = 20.0
+RATE_PER_NODE_PER_S = 2.0
 
 
 @attrs.define
-class HandClock:
+class ManualClock:
     at_s: float = 0.0
 
     def now_s(self) -> float:
@@ -43,7 +43,7 @@
 
 
 class NoStalls:
-    """No group has fallen silent."""
+    """A stall watch without silent groups."""
 
     def is_lost(self, head: BackendServer) -> bool:
         return False
@@ -53,7 +53,7 @@
 
 @attrs.define
 class Heads:
-    """Stands in for the directory."""
+    """A directory with fixed heads."""
 
     heads: list[BackendServer]
 
@@ -62,18 +62,21 @@
 
 
 def head(index: int, zone: str) -> BackendServer:
-    place = GroupMembership(f"m.{index}", index, 0, MemberState.OPEN)
+    membership = GroupMembership(f"m.{index}", index, 0, MemberState.OPEN)
     return BackendServer(
         f"i-{index}", "llm", "10.0.0.1:80", zone, BackendState.READY, 11,
-        membership=place,
+        membership=membership,
     )  # fmt: skip
 
 
-def most_in_flight(
-    nodes: int, groups_by_zone: list[int], seed: int
-) -> dict[str, float]:
-    """Return the mean of each zone's most requests at one group, and over all."""
-    clock = HandClock()
+def simulate_load(nodes: int, groups_by_zone: list[int], seed: int) -> dict[str, float]:
+    """Simulate requests, and return measures of the load.
+
+    Returns:
+        The fraction of requests that are late, and the requests per group of the
+        busiest zone relative to the mean.
+    """
+    clock = ManualClock()
     rng = random.Random(seed)
     zones = [f"z{index}" for index in range(len(groups_by_zone))]
     heads = [
@@ -93,8 +96,8 @@
     served: Counter[str] = Counter()
     ends: list[tuple[float, int, str]] = []
     late = total = 0
-    while clock.at_s < PLAY_S:
-        clock.at_s += rng.expovariate(PER_NODE_S * nodes)
+    while clock.at_s < SIMULATION_S:
+        clock.at_s += rng.expovariate(RATE_PER_NODE_PER_S * nodes)
         while ends and ends[0][0] <= clock.at_s:
             _, node, name = heapq.heappop(ends)
             at_head[name] -= 1
@@ -113,17 +116,18 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_zone_with_few_groups_is_not_drowned_by_its_own_nodes(seed: int) -> None:
-    """All requests of the zone at its four groups would be 2.6 times the mean."""
-    found = most_in_flight(195, [4, 12, 12, 12, 12], seed)
+def test_a_zone_with_few_groups_is_not_overloaded_by_its_own_nodes(seed: int) -> None:
+    """Sending all requests of the zone to its four groups gives 2.6 times the mean."""
+    found = simulate_load(195, [4, 12, 12, 12, 12], seed)
     assert found["busiest"] < 1.3
-    # More than a group's eleven places: with unequal zones a third would wait.
+    # Requests beyond a group's eleven slots are late; a third would be if the
+    # unequal zones were not balanced.
     assert found["late"] < 0.06
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_few_nodes_still_keep_to_their_zone_where_that_costs_nothing(seed: int) -> None:
-    clock = HandClock()
+def test_few_nodes_choose_their_own_zone_at_equal_load(seed: int) -> None:
+    clock = ManualClock()
     heads = Heads([head(index, f"z{index % 3}") for index in range(12)])
     choice = HeadChoice(
         "z1",
@@ -138,8 +142,8 @@
     assert found["z1"] == 100
 
 
-def test_own_requests_weigh_more_than_a_zone() -> None:
-    clock = HandClock()
+def test_a_request_in_flight_costs_more_than_another_zone() -> None:
+    clock = ManualClock()
     health = BackendHealth(clock)
     heads = Heads([head(0, "z0"), head(1, "z1")])
     health.in_flight["i-0"] = 1
@@ -156,8 +160,8 @@
         assert choice.choose("llm", "m", ()).backend_id == "i-1"
 
 
-def test_a_head_that_is_held_is_not_chosen_also_as_the_last_one() -> None:
-    clock = HandClock()
+def test_a_blocked_head_is_not_chosen_even_as_the_last_one() -> None:
+    clock = ManualClock()
     heads = Heads([head(0, "z0"), head(1, "z0")])
     pressure = PressureBook(clock, BackendDirectory(clock))
     pressure.timer = Timer.from_seed(1)
@@ -165,7 +169,7 @@
         "z0", heads, BackendHealth(clock), NoStalls(), pressure, random.Random(1), int
     )
 
-    async def ask() -> list[BackendServer | None]:
+    async def choose_heads() -> list[BackendServer | None]:
         first, second = heads.heads
         pressure.heard(first, Backpressure(rest_s=5.0))
         found = [choice.choose("llm", "m", ())]
@@ -176,6 +180,6 @@
         assert 2.0 <= hold.free_s <= 2.3
         return found
 
-    chosen, none = run_in_virtual_time(ask())
+    chosen, none = run_in_virtual_time(choose_heads())
     assert chosen.backend_id == "i-1"
     assert none is None
--- a/packages/serving/tests/test_permits.py
+++ b/packages/serving/tests/test_permits.py
@@ -1,8 +1,8 @@
-"""Pattern: a backend server takes one to twenty requests a second from all nodes.
+"""Permits for a backend server that accepts one to twenty requests a second in total.
 
-Two to 340 nodes want to send to it, all alike or nearly all of them at one node; nodes
-are lost, don't reach each other, or come anew. The bound is what the users' pages allow
-within four seconds: one and a half times the limit, and five.
+Two to 340 nodes send requests to it, with demand spread evenly or concentrated on one
+node. Nodes are lost, cannot reach each other, or join. The required bound for any four
+seconds is one and a half times the limit, plus five.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from fordhatch_lab._limit_ways import SERVER
 
-PLAY_S = 60.0
+SIMULATION_S = 60.0
 
 
 def permits(play: LimitPlay, node: str) -> Permits:
@@ -39,11 +39,11 @@
     play = play_limit(LimitTrial("permits", nodes, limit_per_s, skew=skew))
     assert play.worst() <= allowed(limit_per_s)
     assert 0.85 <= play.use() <= 1.0
-    # As few questions as a server has requests to give away, and each node's first.
-    assert play.nodes.messages <= 10.0 * limit_per_s * PLAY_S + 3 * nodes
+    # Messages are proportional to the limit, plus the first request of each node.
+    assert play.nodes.messages <= 10.0 * limit_per_s * SIMULATION_S + 3 * nodes
 
 
-def test_no_node_is_starved_where_all_want_the_same() -> None:
+def test_no_node_is_starved_at_equal_demand() -> None:
     trial = LimitTrial("permits", 8, 1.1, demand=20.0, duration_s=200.0)
     play = play_limit(trial)
     fair = len(play.sent_s) / 8
@@ -59,7 +59,7 @@
         first, *_ = issuers("i-1", play.nodes.ways, 1)
         wants = asyncio.ensure_future(play.all_want())
         await asyncio.sleep(20.0)
-        # Half of the nodes reach it still.
+        # Half of the nodes still reach it.
         others = [n for n in play.nodes.ways if n != first]
         play.nodes.cut = {frozenset({first, n}) for n in others[::2]}
         await asyncio.sleep(10.0)
@@ -71,22 +71,22 @@
 
     play, later = run_in_virtual_time(scenario())
     assert play.worst() <= allowed(limit_per_s)
-    # The next one can't know that the first serves nobody, and gives out a third.
+    # The next issuer does not know that the first one is lost, and issues a third.
     assert 0.85 * limit_per_s * 20.0 / 3.0 - 1.0 <= later <= limit_per_s * 20.0
 
 
-def test_a_node_out_of_reach_of_all_others_keeps_to_its_part() -> None:
+def test_an_isolated_node_keeps_to_its_fraction() -> None:
     async def scenario() -> LimitPlay:
         play = LimitPlay.create(LimitTrial("permits", 8, 8.0))
         play.nodes.cut = {frozenset({"n0", other}) for other in play.nodes.ways}
-        await play.want("n0", 50.0, PLAY_S)
+        await play.want("n0", 50.0, SIMULATION_S)
         return play
 
     play = run_in_virtual_time(scenario())
     assert 0.3 <= play.use() * 8 <= 1.1
 
 
-def test_nodes_that_come_anew_change_little() -> None:
+def test_the_limit_is_kept_while_nodes_join() -> None:
     async def scenario() -> LimitPlay:
         play = LimitPlay.create(LimitTrial("permits", 7, 2.0))
         wants = [asyncio.ensure_future(play.all_want())]
@@ -101,7 +101,7 @@
     assert play.worst() <= allowed(2.0)
 
 
-def test_a_limit_that_is_no_longer_said_ends() -> None:
+def test_a_limit_that_is_no_longer_declared_ends() -> None:
     async def scenario() -> None:
         play = LimitPlay.create(LimitTrial("permits", 2, 0.0))
         node, other = permits(play, "n0"), permits(play, "n1")
@@ -116,19 +116,19 @@
     run_in_virtual_time(scenario())
 
 
-def test_a_server_that_takes_nothing_is_still_asked_for_its_word() -> None:
+def test_a_server_that_accepts_nothing_still_gets_some_requests() -> None:
     async def scenario() -> LimitPlay:
         play = LimitPlay.create(LimitTrial("permits", 7, 0.0))
-        wants = [play.want(node, 4.0, PLAY_S) for node in play.nodes.ways]
+        wants = [play.want(node, 4.0, SIMULATION_S) for node in play.nodes.ways]
         await asyncio.gather(*wants)
         return play
 
     play = run_in_virtual_time(scenario())
-    assert PLAY_S / 8 <= len(play.sent_s) <= PLAY_S / 4 + 2
+    assert SIMULATION_S / 8 <= len(play.sent_s) <= SIMULATION_S / 4 + 2
     assert play.worst() <= allowed(0.0)
 
 
-def test_older_words_and_those_of_nobody_change_nothing() -> None:
+def test_older_reports_and_foreign_answers_change_nothing() -> None:
     async def scenario() -> None:
         play = LimitPlay.create(LimitTrial("permits", 1, 3.0))
         pressure = permits(play, "n0").pressure
@@ -143,24 +143,24 @@
     run_in_virtual_time(scenario())
 
 
-def test_a_limit_that_changes_with_each_answer_is_told_seldom() -> None:
+def test_small_changes_of_a_limit_are_not_notified() -> None:
     async def scenario() -> int:
         play = LimitPlay.create(LimitTrial("permits", 1, 10.0))
         pressure = permits(play, "n0").pressure
-        told = []
-        pressure.subscribe_limits(told.append)
+        notified = []
+        pressure.subscribe_limits(notified.append)
         for index in range(50):
             await asyncio.sleep(0.01)
             said = Backpressure(limit_per_s=10.0 + 0.01 * index)
             pressure.heard(SERVER, said)
         assert pressure.limit("i-1").per_s == 10.49
-        return len(told)
+        return len(notified)
 
     assert run_in_virtual_time(scenario()) == 0
 
 
 @pytest.mark.parametrize("way", ["equal", "feedback"])
-def test_shares_without_permits_leave_a_limit_unused_where_one_node_wants_it(
+def test_other_schemes_leave_a_limit_unused_if_one_node_has_the_demand(
     way,
 ) -> None:
     trial = LimitTrial(way, 68, 1.1, skew=0.9)
--- a/packages/serving/tests/test_permits_stateful.py
+++ b/packages/serving/tests/test_permits_stateful.py
@@ -1,8 +1,8 @@
-"""Permits under random losses, cuts, restarts and clocks: the sum holds at each step.
+"""Permits under random losses, network cuts, restarts and clock drift.
 
-The oracle knows every request and which nodes were told of the limit half a second
-before. A node that was restarted or cut off is excused for as long as its requests lie
-within a window, as on the users' pages.
+At each step the sum of requests must keep to the limit. The oracle knows every request,
+and which nodes learned of the limit at least half a second before. A node that was
+restarted or cut off is exempt while its requests lie within the window.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from fordhatch_lab._limit_ways import SERVER
 
 WINDOW_S = 4.0
-HEARD_S = 0.5
+PROPAGATION_S = 0.5
 DRIFT = (0.97, 1.03)
-"""How fast the clocks of nodes go, by the true one."""
+"""Range of the clock rates of nodes, relative to true time."""
 
 
 @attrs.define
 class Clock:
-    """One node's steady clock."""
+    """Monotonic clock of one node."""
 
     rng: random.Random
     rate: float = 1.0
@@ -48,13 +48,13 @@
     counts: bool
 
 
-def finished(coroutine) -> object:
-    """Run a coroutine that never waits."""
+def run_to_completion(coroutine) -> object:
+    """Run a coroutine that never suspends, and return its result."""
     try:
         coroutine.send(None)
     except StopIteration as done:
         return done.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine was suspended")
 
 
 class LimitedServer(RuleBasedStateMachine):
@@ -63,11 +63,11 @@
         self.now_s = 0.0
         self.permits: dict[str, Permits] = {}
         self.clocks: dict[str, Clock] = {}
-        self.told_s: dict[str, float] = {}
-        self.excused_until_s: dict[str, float] = {}
+        self.informed_s: dict[str, float] = {}
+        self.exempt_until_s: dict[str, float] = {}
         self.cut: set[str] = set()
-        self.lost_share = 0.0
-        self.doubled_share = 0.0
+        self.loss_probability = 0.0
+        self.duplicate_probability = 0.0
         self.sent: list[Sent] = []
         self.rng = random.Random(0)
 
@@ -93,34 +93,34 @@
         pressure = PressureBook(clock, BackendDirectory(clock))
 
         async def ask(to: str, limit: ServerLimit) -> Permit | None:
-            return self._carry(name, to, limit)
+            return self._deliver(name, to, limit)
 
         issuer = PermitIssuer(name, clock.rng)
         nodes = lambda: self.permits  # noqa: E731
         self.permits[name] = Permits(name, clock, pressure, issuer, nodes, ask)
-        self.told_s[name] = math.inf
+        self.informed_s[name] = math.inf
 
-    def _carry(self, sender: str, to: str, limit: ServerLimit) -> Permit | None:
-        if {sender, to} & self.cut or self.rng.random() < self.lost_share:
+    def _deliver(self, sender: str, to: str, limit: ServerLimit) -> Permit | None:
+        if {sender, to} & self.cut or self.rng.random() < self.loss_probability:
             return None
         age_s = self.clocks[sender].now_s() - limit.said_s
-        there = ServerLimit(
+        received = ServerLimit(
             limit.backend_id, limit.per_s, self.clocks[to].now_s() - age_s
         )
-        permit = self.permits[to].asked_by(sender, there)
-        if self.rng.random() < self.doubled_share:
-            permit = self.permits[to].asked_by(sender, there)
-        # The answer may be lost as well, and its permit with it.
-        return None if self.rng.random() < self.lost_share else permit
+        permit = self.permits[to].asked_by(sender, received)
+        if self.rng.random() < self.duplicate_probability:
+            permit = self.permits[to].asked_by(sender, received)
+        # The answer may be lost too, together with its permit.
+        return None if self.rng.random() < self.loss_probability else permit
 
-    def _pass(self, for_s: float) -> None:
+    def _advance(self, for_s: float) -> None:
         self.now_s += for_s
         for clock in self.clocks.values():
             clock.true_s = self.now_s
 
     @rule(for_s=st.sampled_from([0.05, 0.3, 1.0, 5.0, 60.0]))
     def wait(self, for_s: float) -> None:
-        self._pass(for_s)
+        self._advance(for_s)
 
     @rule(
         for_s=st.sampled_from([0.5, 2.0, 6.0]),
@@ -130,23 +130,23 @@
     def callers_want(self, for_s: float, per_s: float, busy: int) -> None:
         names = sorted(self.permits)[:busy]
         for _ in range(int(for_s * per_s)):
-            self._pass(1.0 / per_s)
+            self._advance(1.0 / per_s)
             self._want(self.rng.choice(names))
 
     def _want(self, name: str) -> None:
-        if not finished(self.permits[name].take(SERVER)):
+        if not run_to_completion(self.permits[name].take(SERVER)):
             return
-        is_told = self.now_s >= self.told_s[name] + HEARD_S
-        is_excused = name in self.cut or self.now_s < self.excused_until_s.get(name, 0)
-        self.sent.append(Sent(self.now_s, name, is_told and not is_excused))
+        is_informed = self.now_s >= self.informed_s[name] + PROPAGATION_S
+        is_exempt = name in self.cut or self.now_s < self.exempt_until_s.get(name, 0)
+        self.sent.append(Sent(self.now_s, name, is_informed and not is_exempt))
         said = Backpressure(limit_per_s=self.limit_per_s)
         self.permits[name].pressure.heard(SERVER, said)
-        self.told_s[name] = min(self.told_s[name], self.now_s)
+        self.informed_s[name] = min(self.informed_s[name], self.now_s)
 
     @rule(index=st.integers(0, 11))
     def restart(self, index: int) -> None:
         name = sorted(self.permits)[index % len(self.permits)]
-        self.excused_until_s[name] = self.now_s + WINDOW_S
+        self.exempt_until_s[name] = self.now_s + WINDOW_S
         self._start(name)
 
     @rule(index=st.integers(0, 11))
@@ -157,14 +157,14 @@
     @rule()
     def heal(self) -> None:
         for name in self.cut:
-            self.excused_until_s[name] = self.now_s + WINDOW_S
+            self.exempt_until_s[name] = self.now_s + WINDOW_S
         self.cut.clear()
 
     @rule(
         lost=st.sampled_from([0.0, 0.03, 0.3]), doubled=st.sampled_from([0.0, 0.1, 0.5])
     )
     def links(self, lost: float, doubled: float) -> None:
-        self.lost_share, self.doubled_share = lost, doubled
+        self.loss_probability, self.duplicate_probability = lost, doubled
 
     @invariant()
     def the_sum_holds(self) -> None:
--- a/packages/serving/tests/test_quarantine.py
+++ b/packages/serving/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Pattern: contents that end backend servers, beside sound ones that were there."""
+"""Contents that crash backend servers, and sound ones present at the crashes."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     SharedRows,
     crash_key,
 )
-from fordhatch.serving._quarantine import MOST_OWN, Quarantine, judge
+from fordhatch.serving._quarantine import MAX_OWN_CRASHES, Quarantine, judge
 
 BEGUN, FLOWING, WAITING = RunStage.BEGUN, RunStage.FLOWING, RunStage.WAITING
 
 
 @pytest.mark.parametrize("stage", [FLOWING, WAITING])
-def test_three_servers_are_enough_and_two_are_not(stage: RunStage) -> None:
+def test_three_crashes_quarantine_and_two_do_not(stage: RunStage) -> None:
     crashes = {"a": dict.fromkeys("xyz", stage), "b": dict.fromkeys("uv", stage)}
     assert judge(crashes) == {"a"}
 
 
-def test_two_are_enough_where_the_answer_had_just_begun_both_times() -> None:
+def test_two_crashes_quarantine_if_the_answer_had_just_begun_both_times() -> None:
     crashes = {
         "a": dict.fromkeys("xy", BEGUN),
         "b": {"u": BEGUN, "v": WAITING},
@@ -37,18 +37,18 @@
     assert judge(crashes) == {"a"}
 
 
-def test_a_sound_one_that_was_always_there_is_parted_by_its_progress() -> None:
+def test_a_sound_request_at_every_crash_is_distinguished_by_its_progress() -> None:
     sound = {"x": FLOWING, "y": WAITING, "z": FLOWING}
     assert judge({"bad": dict.fromkeys("xyz", BEGUN), "sound": sound}) == {"bad"}
 
 
-def test_a_sound_one_is_freed_when_a_worse_one_explains_its_crashes() -> None:
+def test_a_sound_request_is_released_when_a_worse_one_explains_its_crashes() -> None:
     sound = dict.fromkeys("xyz", BEGUN)
     assert judge({"sound": sound}) == {"sound"}
     assert judge({"sound": sound, "bad": dict.fromkeys("xyzu", BEGUN)}) == {"bad"}
 
 
-def test_what_nothing_tells_apart_is_all_held_back() -> None:
+def test_indistinguishable_contents_are_all_quarantined() -> None:
     same = dict.fromkeys("xyz", BEGUN)
     assert judge({"a": same, "b": dict(same)}) == {"a", "b"}
 
@@ -63,11 +63,13 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_sound_requests_beside_a_hundred_bad_ones_are_not_held_back(seed: int) -> None:
-    """Each crash takes twelve sound runs along.
+def test_sound_requests_beside_a_hundred_bad_ones_are_not_quarantined(
+    seed: int,
+) -> None:
+    """Each crash also terminates twelve sound runs.
 
-    A sound request is there four times at the most: its caller tries twice, and each
-    try is sent twice.
+    A sound request is present at most four times: its caller sends it twice, and each
+    of these requests is attempted twice.
     """
     rng = random.Random(seed)
     runs = [f"sound{n}" for n in range(1200) for _ in range(4)]
@@ -83,8 +85,8 @@
     assert judge(crashes) == {f"bad{n}" for n in range(100)}
 
 
-def test_the_rows_that_are_kept_are_judged_within_some_milliseconds() -> None:
-    """All different in how much speaks against them, which takes longest."""
+def test_all_kept_rows_are_judged_within_some_milliseconds() -> None:
+    """Contents that differ in weight take the longest to judge."""
     rng = random.Random(1)
     crashes = {
         f"bad{n}": {f"s{n}.{e}": rng.choice(list(RunStage)) for e in range(3 + n % 2)}
@@ -95,12 +97,12 @@
     assert time.process_time() - began_s < 0.05
 
 
-# What a node knows by itself, and what it reads.
+# Crashes seen by a node, and crashes read from the store.
 
 
 @attrs.frozen
 class Content:
-    """Stands for a request; its name is its digest."""
+    """A request whose digest is its name."""
 
     name: str
 
@@ -122,71 +124,71 @@
     quarantine, shared = site()
     shared.observe_changes([row("a", "x", WAITING), row("b", "x", WAITING)])
     quarantine.observe(CrashRecord("a", "y", WAITING, "n1"))
-    assert not quarantine.holds(Content("a"))
-    # Its own row comes back from the store, and counts once.
+    assert not quarantine.is_quarantined(Content("a"))
+    # The row of the own crash is read from the store, and counts once.
     shared.observe_changes([row("a", "y", WAITING)])
-    assert not quarantine.holds(Content("a"))
+    assert not quarantine.is_quarantined(Content("a"))
     assert quarantine.is_suspect(Content("a"))
     assert not quarantine.is_suspect(Content("c"))
     shared.observe_changes([row("a", "z", WAITING)])
-    assert quarantine.holds(Content("a"))
-    assert not quarantine.holds(Content("b"))
+    assert quarantine.is_quarantined(Content("a"))
+    assert not quarantine.is_quarantined(Content("b"))
 
 
-async def test_a_content_is_free_when_its_rows_are_gone() -> None:
+async def test_a_content_is_released_when_its_rows_are_removed() -> None:
     quarantine, shared = site()
     shared.observe_changes([row("a", b) for b in "xyz"])
-    assert quarantine.holds(Content("a"))
+    assert quarantine.is_quarantined(Content("a"))
     shared.observe_changes([row("a", b, is_removed=True) for b in "xy"])
-    assert not quarantine.holds(Content("a"))
+    assert not quarantine.is_quarantined(Content("a"))
     shared.observe_snapshot([row("a", b) for b in "xyz"])
-    assert quarantine.holds(Content("a"))
+    assert quarantine.is_quarantined(Content("a"))
     shared.observe_snapshot([])
-    assert not quarantine.holds(Content("a"))
+    assert not quarantine.is_quarantined(Content("a"))
 
 
-async def test_a_whole_answer_clears_a_content() -> None:
+async def test_a_complete_answer_clears_a_content() -> None:
     quarantine, shared = site()
     shared.observe_changes([row("a", "x"), row("b", "x")])
     quarantine.observe(CrashRecord("a", "y", BEGUN, "n1"))
     assert quarantine.clear("a") == [("a", "x")]
     quarantine.observe(CrashRecord("a", "z", WAITING, "n1"))
-    assert not quarantine.holds(Content("a"))
+    assert not quarantine.is_quarantined(Content("a"))
     assert quarantine.crashes("a").keys() == {"x", "z"}
 
 
-async def test_what_a_node_remembers_by_itself_is_bounded() -> None:
+async def test_own_crashes_are_bounded() -> None:
     quarantine, shared = site()
-    for number in range(MOST_OWN + 50):
+    for number in range(MAX_OWN_CRASHES + 50):
         quarantine.observe(CrashRecord("a", f"s{number}", BEGUN, "n1"))
-    assert len(quarantine.own) == MOST_OWN
-    shared.observe_changes([row("a", f"s{MOST_OWN}")])
-    quarantine.forget_told(before_s=0.0)
-    assert len(quarantine.own) == MOST_OWN - 1
-    quarantine.forget_told(before_s=1.0)
+    assert len(quarantine.own) == MAX_OWN_CRASHES
+    shared.observe_changes([row("a", f"s{MAX_OWN_CRASHES}")])
+    quarantine.prune(before_s=0.0)
+    assert len(quarantine.own) == MAX_OWN_CRASHES - 1
+    quarantine.prune(before_s=1.0)
     assert quarantine.own == {}
 
 
-async def test_what_is_told_once_is_not_told_again() -> None:
+async def test_a_crash_is_published_once() -> None:
     quarantine, _ = site()
     seen = CrashRecord("a", "x", BEGUN, "n1")
     quarantine.observe(seen)
-    assert quarantine.take_untold("b") == []
-    assert quarantine.take_untold("a") == [seen]
-    assert quarantine.take_untold("a") == []
+    assert quarantine.take_unpublished("b") == []
+    assert quarantine.take_unpublished("a") == [seen]
+    assert quarantine.take_unpublished("a") == []
 
 
-async def test_news_of_another_node_count_and_are_new_once() -> None:
+async def test_crashes_reported_by_another_node_count_and_are_new_once() -> None:
     quarantine, shared = site()
     shared.observe_changes([row("a", "x")])
-    heard = [CrashRecord("a", b, BEGUN, "n2") for b in "xyz"]
-    assert quarantine.hear(heard) == heard[1:]
-    assert quarantine.hear(heard) == []
-    assert quarantine.take_untold("a") == []
-    assert quarantine.holds(Content("a"))
+    reported = [CrashRecord("a", b, BEGUN, "n2") for b in "xyz"]
+    assert quarantine.hear(reported) == reported[1:]
+    assert quarantine.hear(reported) == []
+    assert quarantine.take_unpublished("a") == []
+    assert quarantine.is_quarantined(Content("a"))
 
 
-async def test_a_spoiled_row_speaks_against_nobody() -> None:
+async def test_a_malformed_row_is_ignored() -> None:
     _, shared = site()
     for value in (b"", b"{}", b"null", b'{"stage": 9, "node_name": "n"}', b"[" * 9999):
         shared.observe_changes([attrs.evolve(row("a", "x"), value=value)])
