--- a/packages/serving/src/fordhatch/serving/_head_choice.py
+++ b/packages/serving/src/fordhatch/serving/_head_choice.py
@@ -24,7 +24,7 @@
 """
 
 MAX_ZONE_COST = 0.3
-"""Maximum of that cost in the node's own requests; applies to systems of less than
+"""Maximum of that cost in the node's own requests; applies to systems of fewer than
 eight nodes."""
 
 
