--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -41,7 +41,7 @@
     Guard(
         "ORDER: only whole events pass",
         "serving/_stream_run.py",
-        "        if splitter.has_rest:\n",
+        "        if splitter.has_partial_event:\n",
         "        if False:\n",
         f"{SERVING}/test_stream_calls.py -k ends_within_an_event",
     ),
@@ -125,7 +125,7 @@
     Guard(
         "CONFIG: keys are not used without a fresh confirmation",
         "serving/_node_state.py",
-        "        if self.knowledge() is Knowledge.STALE:\n",
+        "        if self.freshness() is Freshness.STALE:\n",
         "        if False:\n",
         f"{SERVING}/test_door.py -k without_confirmation",
     ),
@@ -146,7 +146,7 @@
     Guard(
         "DENIED: a node out of touch denies nothing for good",
         "serving/_admission.py",
-        "        if self.state.knowledge() is not Knowledge.CERTAIN:\n",
+        "        if self.state.freshness() is not Freshness.CERTAIN:\n",
         "        if False:\n",
         f"{SERVING}/test_door.py -k denies_nothing",
     ),
@@ -230,8 +230,8 @@
     Guard(
         "DENIED: knowledge in an outage denies nothing",
         "serving/_knowledge.py",
-        "        return Knowledge.GOOD\n",
-        "        return Knowledge.CERTAIN\n",
+        "        return Freshness.GOOD\n",
+        "        return Freshness.CERTAIN\n",
         f"{SERVING}/test_knowledge.py -k denied_by_certain",
     ),
     Guard(
@@ -272,7 +272,7 @@
     Guard(
         "refusals: only a group on its way is waited for",
         "serving/_group_wait.py",
-        "    return {s for found in states.values() if found <= {*on_the_way} for s in found}\n",
+        "    return {s for found in states.values() if found <= {*pending} for s in found}\n",
         "    return {s for found in states.values() for s in found}\n",
         f"{SERVING}/test_group_wait.py",
     ),
--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -38,7 +38,7 @@
     Guard(
         "rest: who rests is no last resort",
         "serving/_plain_call.py",
-        " if b.backend_id not in held]",
+        " if b.backend_id not in blocked]",
         "]",
         f"{SERVING}/test_plain_calls.py -k short_rest",
     ),
@@ -52,8 +52,8 @@
     Guard(
         "rest and departure: looked at again as the connection stands",
         "serving/_admission.py",
-        "        asked = self.pressure.why_not(backend_id)\n",
-        "        asked = None\n",
+        "        pressure = self.pressure.why_not(backend_id)\n",
+        "        pressure = None\n",
         f"{SERVING}/test_plain_calls.py -k while_connecting",
     ),
     Guard(
--- a/packages/serving/src/fordhatch/serving/__init__.py
+++ b/packages/serving/src/fordhatch/serving/__init__.py
@@ -1,4 +1,4 @@
-"""The way of a request from the caller to a backend server and back."""
+"""The request path: from callers to backend servers and back."""
 
 from __future__ import annotations
 
--- a/packages/serving/src/fordhatch/serving/_admission.py
+++ b/packages/serving/src/fordhatch/serving/_admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is served at all, and where it goes."""
+"""Admission control: whether a request is served, and by which service."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from fordhatch.catalog import CallFields, Configuration, Route, Workspace
 from fordhatch.core import Failure, ResultCode, Timer
 
-from ._knowledge import Knowledge
-from ._node_state import OTHER_NODE_AFTER_S, NodeState
+from ._knowledge import Freshness
+from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
 from ._pressure_book import PressureBook
 from ._quarantine import Quarantine
 from ._request import ServedRequest
@@ -20,7 +20,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Admission:
-    """Checks route, key and freshness."""
+    """Checks the route, the API key and the freshness of the configuration."""
 
     state: NodeState
     timer: Timer
@@ -37,27 +37,27 @@
         quarantine: Quarantine,
         pressure: PressureBook,
     ) -> Admission:
-        """Build the admission of a node; it follows the configuration."""
+        """Create the admission control of a node and subscribe it to the configuration."""
         admission = cls(state, timer, timer.rng, quarantine, pressure)
-        state.view.configuration.subscribe(admission._configured)
+        state.view.configuration.subscribe(admission._apply_configuration)
         return admission
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self._routes = RouteTable.from_configuration(configuration)
 
     def max_body_bytes(self) -> int:
-        """Return the longest body that the configuration allows."""
+        """Return the longest body that the configuration allows, in bytes."""
         current = self.state.view.configuration.current
         return current.limits.max_body_bytes if current is not None else 0
 
     def find_route(self, host: str, target: str) -> Result[Route, Failure]:
-        """Return the route of a request, or why it is not served."""
+        """Return the route of a request, or the refusal."""
         stopped = self.state.why_not()
         if stopped is not None:
             return Err(stopped)
         route = self._routes.find(host, target)
         if route is None:
-            return Err(self._certain(ResultCode.NOT_FOUND))
+            return Err(self._final_refusal(ResultCode.NOT_FOUND))
         return Ok(route)
 
     def admit(
@@ -71,14 +71,14 @@
         body: bytes,
         arrived_s: float,
     ) -> Result[ServedRequest, Failure]:
-        """Return the request as it will be served, or why it is not.
+        """Return the admitted request, or the refusal.
 
         Args:
-            route: The request's route, from ``find_route`` or the edge's own table.
-            fields: What the request says about itself.
+            route: The request's route, from ``find_route`` or the caller's own table.
+            fields: The fields of the request's headers.
             method: HTTP method.
             target: Path and query as sent.
-            headers: The headers that go on to the backend server.
+            headers: The headers to forward to the backend server.
             body: The complete body.
             arrived_s: When the request's head was read, in monotonic seconds.
         """
@@ -101,50 +101,58 @@
             headers=headers,
             body=body,
             arrived_s=arrived_s,
-            ends_s=arrived_s + wait_s,
+            due_s=arrived_s + wait_s,
+        )
+        request.may_go = lambda backend_id: self._recheck_for_backend(
+            request, backend_id
         )
-        request.may_go = lambda backend_id: self._may_go(request, backend_id)
         return Ok(request)
 
-    def _may_go(self, request: ServedRequest, backend_id: str) -> Failure | None:
-        """Return why a request may not go out on a connection that now stands."""
-        stopped = self.still_allowed(request)
+    def _recheck_for_backend(
+        self, request: ServedRequest, backend_id: str
+    ) -> Failure | None:
+        """Return why a request may not be sent on a connection that is now open."""
+        stopped = self.recheck(request)
         if stopped is not None:
             return stopped
-        asked = self.pressure.why_not(backend_id)
-        if asked is None:
+        pressure = self.pressure.why_not(backend_id)
+        if pressure is None:
             return None
-        return Failure.from_code(ResultCode.BACKEND_REFUSED, f"asked for {asked}")
+        return Failure.from_code(ResultCode.BACKEND_REFUSED, f"asked for {pressure}")
 
     def authenticate(
         self, route: Route, api_keys: tuple[str, ...]
     ) -> Result[Workspace | None, Failure]:
-        """Return the workspace that the API keys of a request lead to.
+        """Return the workspace that the API keys of a request belong to.
 
         Args:
             route: The request's route.
-            api_keys: Every key that was sent; a proper request has at most one.
+            api_keys: Every key that was sent; a valid request has at most one.
 
         Returns:
-            The workspace, None where the route needs none, or the refusal.
+            The workspace, None where none is required, or the refusal.
         """
         by_key = self.state.view.configuration.current.workspace_by_key
         if by_key is None:
             return Ok(None)
         workspace = by_key.get(api_keys[0]) if len(api_keys) == 1 else None
         if workspace is None and not route.is_public:
-            return Err(self._certain(ResultCode.UNAUTHENTICATED))
+            return Err(self._final_refusal(ResultCode.UNAUTHENTICATED))
         return Ok(workspace)
 
-    def _certain(self, code: ResultCode) -> Failure:
-        """Return a final refusal if this node knows it for certain."""
-        if self.state.knowledge() is not Knowledge.CERTAIN:
+    def _final_refusal(self, code: ResultCode) -> Failure:
+        """Return a refusal that is final only if the configuration is certainly current.
+
+        Otherwise a newer configuration may know the route or key, and the caller is
+        referred to another node.
+        """
+        if self.state.freshness() is not Freshness.CERTAIN:
             return Failure.from_code(
-                ResultCode.CONFIGURATION_STALE, retry_after_s=OTHER_NODE_AFTER_S
+                ResultCode.CONFIGURATION_STALE, retry_after_s=OTHER_NODE_RETRY_AFTER_S
             )
         return Failure.from_code(code)
 
-    def still_allowed(self, request: ServedRequest) -> Failure | None:
+    def recheck(self, request: ServedRequest) -> Failure | None:
         """Return why a request that has waited may no longer be sent, or None."""
         stopped = self.state.why_not() or self.quarantine.why_not(request)
         if stopped is not None:
--- a/packages/serving/src/fordhatch/serving/_caller_server.py
+++ b/packages/serving/src/fordhatch/serving/_caller_server.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests and writes their answers."""
+"""HTTP server for callers: reads requests and writes answers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 from ._admission import Admission
 from ._dispatch import Dispatch
-from ._node_state import OTHER_NODE_AFTER_S, NodeState
+from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
 from ._request_path import RequestPath
 
-LATE_TERM_S = 3.0
-"""Requests that come later than this after the signal to stop are refused: they may
-not be complete before the process must end. The balancer sends none by then."""
+MAX_LATE_REQUEST_S = 3.0
+"""Requests that arrive later than this after the signal to stop are refused: they may
+not complete before the process must exit. The balancer sends none by then."""
 
 
 @attrs.define(eq=False, repr=False)
@@ -31,15 +31,15 @@
     state: NodeState
     response: web.StreamResponse | None = None
     outcome: str = ""
-    """What the caller got, for logs and metrics."""
+    """Result as the caller sees it, for logs and metrics."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether any byte of the answer has gone out."""
+        """Whether any byte of the answer was sent."""
         return self.response is not None
 
     async def refuse(self, failure: Failure) -> None:
-        """Answer with the system's own failure."""
+        """Answer with a failure of the system itself."""
         request_id = caller_fields(self.http_request.headers).request_id
         headers = refusal_headers(request_id, failure.retry_after_s)
         body = json.dumps(failure.to_json()).encode()
@@ -51,7 +51,7 @@
             content_type="application/json",
         )
         if failure.code is ResultCode.BAD_REQUEST:
-            # What follows on this connection may not be a request either.
+            # Further bytes on this connection may not be a valid request either.
             response.force_close()
         await self._send(response)
 
@@ -65,32 +65,32 @@
 
     async def _send(self, response: web.Response) -> None:
         self.response = response
-        self._mark_last(response)
+        self._close_if_leaving(response)
         await response.prepare(self.http_request)
         await response.write_eof()
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begin an answer whose body follows in pieces."""
+        """Start an answer whose body is streamed."""
         self.response = web.StreamResponse(status=status, headers=CIMultiDict(headers))
         self.response.enable_chunked_encoding()
-        self._mark_last(self.response)
+        self._close_if_leaving(self.response)
         await self.response.prepare(self.http_request)
 
-    def _mark_last(self, response: web.StreamResponse) -> None:
+    def _close_if_leaving(self, response: web.StreamResponse) -> None:
         if self.state.is_leaving:
             response.force_close()
 
     async def write(self, piece: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Send a piece of the body."""
         await self.response.write(piece)
 
     async def end(self) -> None:
-        """End an answer that is complete."""
+        """Finish a complete answer."""
         self.outcome = "complete"
         await self.response.write_eof()
 
     async def abort(self) -> None:
-        """Break off an answer so that it can't be taken for a complete one."""
+        """Abort an answer so that the caller can't take it for a complete one."""
         self.outcome = "aborted"
         transport = self.http_request.transport
         if transport is not None:
@@ -99,7 +99,7 @@
 
 @attrs.define(eq=False, repr=False)
 class CallerServer:
-    """Handles every request at the callers' address."""
+    """Handles every request to the callers' address."""
 
     state: NodeState
     admission: Admission
@@ -108,11 +108,11 @@
 
     @classmethod
     def from_path(cls, path: RequestPath, timer: Timer) -> CallerServer:
-        """Return the callers' edge of a request path."""
+        """Return the server for callers of a request path."""
         return cls(path.state, path.admission, path.dispatch, timer)
 
     async def handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request of a caller."""
+        """Serve one request of a caller and return the response."""
         arrived_s = self.timer.now_s()
         reply = CallerReply(http_request, self.state)
         with self.state.counted(reply):
@@ -155,14 +155,14 @@
         if "Host" not in http_request.headers or not target.startswith("/"):
             return Err(Failure.from_code(ResultCode.BAD_REQUEST, "host or path"))
         if URL(f"http://x{target}", encoded=True).raw_path_qs != target:
-            # It could not be passed on unchanged.
+            # The target could not be forwarded unchanged.
             return Err(Failure.from_code(ResultCode.BAD_REQUEST, "path"))
         if self.state.is_leaving:
             leaving_s = self.timer.now_s() - self.state.leaving_since_s
-            if leaving_s > LATE_TERM_S:
+            if leaving_s > MAX_LATE_REQUEST_S:
                 return Err(
                     Failure.from_code(
-                        ResultCode.SHUTTING_DOWN, retry_after_s=OTHER_NODE_AFTER_S
+                        ResultCode.SHUTTING_DOWN, retry_after_s=OTHER_NODE_RETRY_AFTER_S
                     )
                 )
         return Ok(target)
--- a/packages/serving/src/fordhatch/serving/_dispatch.py
+++ b/packages/serving/src/fordhatch/serving/_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands an admitted request to the part that serves it, and accounts for it."""
+"""Dispatch of admitted requests by kind of service, with accounting."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from fordhatch.core import Failure, Ran, ResultCode, Timer, log_event, metrics
 
 from ._crash_watch import CrashWatch
-from ._node_state import OTHER_NODE_AFTER_S, NodeState
+from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
 from ._plain_call import PlainCalls
 from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Dispatch:
-    """The one way from an admitted request to a backend server."""
+    """Serves admitted requests; every one of them goes through here."""
 
     state: NodeState
     budget: RepeatBudget
@@ -26,11 +26,13 @@
     crashes: CrashWatch
 
     async def serve(self, request: ServedRequest, reply: Reply) -> None:
-        """Serve one request; the reply has its final answer afterwards."""
+        """Serve one request; the reply is final when this returns."""
         service = self.state.view.configuration.current.services.get(request.service)
         if service is None:
             failure = Failure.from_code(
-                ResultCode.NO_GROUP_READY, ran=Ran.NO, retry_after_s=OTHER_NODE_AFTER_S
+                ResultCode.NO_GROUP_READY,
+                ran=Ran.NO,
+                retry_after_s=OTHER_NODE_RETRY_AFTER_S,
             )
             await reply.refuse(failure)
             return
@@ -64,7 +66,10 @@
 
 
 def _timing(request: ServedRequest) -> dict[str, object]:
-    """Return what made a request late, if it was; a punctual one's line stays short."""
+    """Return log fields that explain a late request.
+
+    Empty for a request on time, to keep its log line short.
+    """
     timeline, route = request.timeline, request.route
     first_s = _since(request, timeline.first_s)
     is_on_time = first_s != "" and first_s <= route.goal_s
@@ -86,5 +91,5 @@
 
 
 def _since(request: ServedRequest, moment_s: float | None) -> float | str:
-    """Return the time from a request's arrival to a moment, if that came."""
+    """Return the seconds from a request's arrival to a moment, empty if it never came."""
     return round(moment_s - request.arrived_s, 3) if moment_s is not None else ""
--- a/packages/serving/src/fordhatch/serving/_events.py
+++ b/packages/serving/src/fordhatch/serving/_events.py
@@ -50,7 +50,7 @@
         return events
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event has begun but not ended."""
         return bool(self._buffer)
 
--- a/packages/serving/src/fordhatch/serving/_exchange.py
+++ b/packages/serving/src/fordhatch/serving/_exchange.py
@@ -88,7 +88,7 @@
     """A request may no longer be sent; its connection has been opened in vain."""
 
 
-async def _check_again(
+async def _recheck_before_send(
     _: aiohttp.ClientSession,
     context: SimpleNamespace,
     __: aiohttp.TraceConnectionCreateEndParams,
@@ -179,7 +179,7 @@
         """Return a client; a running event loop is needed."""
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         trace = aiohttp.TraceConfig()
-        trace.on_connection_create_end.append(_check_again)
+        trace.on_connection_create_end.append(_recheck_before_send)
         session = aiohttp.ClientSession(
             connector=connector,
             trace_configs=[trace],
@@ -237,7 +237,7 @@
         except (aiohttp.ClientError, OSError, ValueError) as error:
             request.arrived_at(backend.backend_id, may_have_run=True)
             return Err(SendFailure(connection_problem(error), repr(error)))
-        return self._judge(request, backend, response)
+        return self._check_answer(request, backend, response)
 
     def _headers(
         self,
@@ -272,7 +272,7 @@
             trace_request_ctx=_Send(request, backend),
         )
 
-    def _judge(
+    def _check_answer(
         self,
         request: ServedRequest,
         backend: BackendServer,
--- a/packages/serving/src/fordhatch/serving/_group_wait.py
+++ b/packages/serving/src/fordhatch/serving/_group_wait.py
@@ -13,16 +13,16 @@
 
 from fordhatch.catalog import BackendServer, EngineProfile, MemberState, model_of_group
 
-MARGIN_S = 0.4
+PROPAGATION_S = 0.4
 """What entries, orders and their effects take on their way beside the times that the
 engine declares: groups opened 1.53 and 2.05 s after the decision where 1.4 and 1.9 s
 are declared, and entries reach a node up to 0.2 s later."""
 
-DECISION_S = 0.9
+LOSS_TO_DECISION_S = 0.9
 """From the loss of a group to the decision to form another one: 0.38 s of silence, the
 members' answers, one row in the store and the planner's own look."""
 
-LEFT_SHARE = 0.25
+MAX_WAIT_FRACTION = 0.25
 """Share of a caller's time after which it should be back at the latest, so that most
 of it is left for being served."""
 
@@ -38,7 +38,7 @@
 
     def retry_within_s(self, left_s: float) -> float:
         """Return when a caller should come back that has some time left."""
-        return min(self.retry_after_s, LEFT_SHARE * max(left_s, 0.0))
+        return min(self.retry_after_s, MAX_WAIT_FRACTION * max(left_s, 0.0))
 
 
 def group_wait(
@@ -53,17 +53,17 @@
     """
     found = profile.model(model)
     warm_s = found.warm_s if found is not None else 0.0
-    opening_s = profile.form_s + MARGIN_S
-    states = _states_on_the_way(backends, model)
+    opening_s = profile.form_s + PROPAGATION_S
+    states = _states_of_pending_groups(backends, model)
     hold_s = 0.0
     if MemberState.READY in states:
         hold_s = opening_s
     if MemberState.JOINING in states:
         hold_s = warm_s + opening_s
-    return GroupWait(hold_s, DECISION_S + warm_s + opening_s)
+    return GroupWait(hold_s, LOSS_TO_DECISION_S + warm_s + opening_s)
 
 
-def _states_on_the_way(
+def _states_of_pending_groups(
     backends: Iterable[BackendServer], model: str
 ) -> set[MemberState]:
     """Return the states of members whose groups have not opened yet."""
@@ -72,6 +72,6 @@
         place = backend.membership
         if place is not None and model_of_group(place.group) == model:
             states.setdefault(place.key, set()).add(place.state)
-    on_the_way = (MemberState.JOINING, MemberState.READY)
+    pending = (MemberState.JOINING, MemberState.READY)
     # Members of an open group other than the head report that they are ready.
-    return {s for found in states.values() if found <= {*on_the_way} for s in found}
+    return {s for found in states.values() if found <= {*pending} for s in found}
--- a/packages/serving/src/fordhatch/serving/_http_server.py
+++ b/packages/serving/src/fordhatch/serving/_http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP listener of the process."""
+"""HTTP listeners of the process."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from aiohttp import web
 
 KEEP_ALIVE_S = 120.0
-"""Callers reuse connections that were idle for four fifths of a limit that the
-configuration sets and may raise; nothing is closed before any usual limit."""
+"""Idle connections are closed after this time. Callers reuse connections that were
+idle for up to four fifths of a limit that the configuration sets and may raise; this
+is above any usual limit."""
 
 MAX_HEADER_BYTES = 32 * 1024
-"""Longest line of a request's head: twice what configurations allow, so that the
-configured limit decides."""
+"""Longest line of a request's head: twice the most that a configuration allows, so
+that the configured limit decides."""
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted, so that a burst is not dropped."""
+"""Connections that may wait to be accepted, so that bursts are not dropped."""
 
 HttpHandler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -34,12 +35,12 @@
     async def listen(
         cls, address: str, handler: HttpHandler, port: socket.socket | None = None
     ) -> HttpServer:
-        """Start to serve an address.
+        """Start serving an address.
 
         Args:
             address: ``host:port``.
-            handler: Answers every request.
-            port: A socket that listens there already; None to open one.
+            handler: Handles every request.
+            port: A socket that already listens there; None to open one.
         """
         server = web.Server(
             handler,
@@ -60,7 +61,7 @@
 
     @property
     def address(self) -> str:
-        """The address in use, ``host:port``."""
+        """The bound address, ``host:port``."""
         host, port = self._listener.sockets[0].getsockname()
         return f"{host}:{port}"
 
@@ -70,7 +71,7 @@
         return len(self._server.connections)
 
     def stop_listening(self) -> None:
-        """Accept no new connections; the open ones go on."""
+        """Stop accepting connections; open ones are kept."""
         self._listener.close()
 
     async def close(self) -> None:
--- a/packages/serving/src/fordhatch/serving/_knowledge.py
+++ b/packages/serving/src/fordhatch/serving/_knowledge.py
@@ -13,22 +13,22 @@
 
 from fordhatch.catalog import SystemBounds
 
-FRESH_SHARE = 0.7
+STALE_FRACTION = 0.7
 """Share of the time within which a change must be in force that a confirmation of the
 configuration is good for. The rest covers a store that notifies late, by about a
 second."""
 
-READY_SHARE = 0.5
+AGEING_FRACTION = 0.5
 """The node asks for no new callers when its confirmation is older than this share;
 the balancer needs about two seconds to notice."""
 
-CERTAIN_S = 1.5
+MAX_CERTAIN_AGE_S = 1.5
 """A node whose configuration was not confirmed for this long doesn't say that a
 route or key is unknown: a newer configuration may know it. It is below the two
 seconds within which a configuration is in force everywhere."""
 
 
-class Knowledge(Enum):
+class Freshness(Enum):
     """What a node's knowledge of the configuration is good for."""
 
     CERTAIN = "certain"
@@ -41,9 +41,9 @@
     """Refuse: other nodes may serve."""
 
 
-def judge_knowledge(
+def classify_freshness(
     age_s: float, bounds: SystemBounds, *, is_outage_for_all: bool
-) -> Knowledge:
+) -> Freshness:
     """Return what a configuration is good for that was confirmed a while ago.
 
     Args:
@@ -51,14 +51,14 @@
         bounds: The bounds of the system.
         is_outage_for_all: Whether no node reaches the store, as far as is known.
     """
-    if age_s <= CERTAIN_S:
-        return Knowledge.CERTAIN
+    if age_s <= MAX_CERTAIN_AGE_S:
+        return Freshness.CERTAIN
     if is_outage_for_all and not bounds.is_revocation_strict:
-        return Knowledge.GOOD
+        return Freshness.GOOD
     limit_s = _limit_s(bounds)
-    if age_s > limit_s * FRESH_SHARE:
-        return Knowledge.STALE
-    return Knowledge.GOOD if age_s <= limit_s * READY_SHARE else Knowledge.AGEING
+    if age_s > limit_s * STALE_FRACTION:
+        return Freshness.STALE
+    return Freshness.GOOD if age_s <= limit_s * AGEING_FRACTION else Freshness.AGEING
 
 
 def _limit_s(bounds: SystemBounds) -> float:
--- a/packages/serving/src/fordhatch/serving/_node_state.py
+++ b/packages/serving/src/fordhatch/serving/_node_state.py
@@ -12,22 +12,22 @@
 from fordhatch.core import Failure, ResultCode, Timer, log_event, metrics
 from fordhatch.registry import StoreView
 
-from ._knowledge import Knowledge, judge_knowledge
+from ._knowledge import Freshness, classify_freshness
 from ._request import Reply
 
-OTHER_NODE_AFTER_S = 0.2
+OTHER_NODE_RETRY_AFTER_S = 0.2
 """When a caller may come back whose request this node can't serve: at once, as other
 nodes may well serve it; a little later spares them a burst."""
 
-START_HOLD_S = 0.8
+START_WAIT_S = 0.8
 """How long a request waits for what a node that has just started must know: reading
 the tables takes up to half a second on a link of 10 Mbit/s. When every node has just
 started, a caller that is refused comes back to another one like it."""
 
-STARTING_S = 2.0
+START_PERIOD_S = 2.0
 """Requests wait only this long after the first one; later the store must be away."""
 
-START_LOOK_S = 0.02
+START_POLL_INTERVAL_S = 0.02
 """How often such a request looks whether the node knows enough."""
 
 START_RETRY_AFTER_S = 0.6
@@ -77,11 +77,11 @@
             metrics.IN_FLIGHT.dec()
             metrics.ANSWERS.labels(reply.outcome).inc()
 
-    def knowledge(self) -> Knowledge:
+    def freshness(self) -> Freshness:
         """Return what this node's knowledge of the configuration is good for."""
         nodes = len(self.view.shared.nodes)
         is_for_all = self.view.evidence.is_for_all(self.timer.now_s(), nodes)
-        return judge_knowledge(
+        return classify_freshness(
             self.view.configuration_age_s(), self.bounds, is_outage_for_all=is_for_all
         )
 
@@ -96,11 +96,11 @@
         now_s = self.timer.now_s()
         if self._starting_since_s is None:
             self._starting_since_s = now_s
-        if now_s - self._starting_since_s > STARTING_S:
+        if now_s - self._starting_since_s > START_PERIOD_S:
             return
-        until_s = now_s + START_HOLD_S
+        until_s = now_s + START_WAIT_S
         while not self._is_loaded() and self.timer.now_s() < until_s:
-            await self.timer.sleep(START_LOOK_S)
+            await self.timer.sleep(START_POLL_INTERVAL_S)
 
     def why_not(self) -> Failure | None:
         """Return why no request may be served now, or None."""
@@ -108,9 +108,9 @@
             return Failure.from_code(
                 ResultCode.NO_CONFIG, retry_after_s=START_RETRY_AFTER_S
             )
-        if self.knowledge() is Knowledge.STALE:
+        if self.freshness() is Freshness.STALE:
             return Failure.from_code(
-                ResultCode.CONFIGURATION_STALE, retry_after_s=OTHER_NODE_AFTER_S
+                ResultCode.CONFIGURATION_STALE, retry_after_s=OTHER_NODE_RETRY_AFTER_S
             )
         return None
 
@@ -118,4 +118,4 @@
         """Return whether the balancer should send new callers here."""
         if self.is_leaving or self.why_not() is not None:
             return False
-        return self.knowledge() is not Knowledge.AGEING
+        return self.freshness() is not Freshness.AGEING
--- a/packages/serving/src/fordhatch/serving/_plain_call.py
+++ b/packages/serving/src/fordhatch/serving/_plain_call.py
@@ -24,20 +24,20 @@
     SendProblem,
     connection_problem,
 )
-from ._group_wait import LEFT_SHARE
+from ._group_wait import MAX_WAIT_FRACTION
 from ._permits import Permits
 from ._pressure_book import Hold
 from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
 
-MOST_SENDS = 4
+MAX_SENDS = 4
 """Sends of one request at the most, refusals and failed connections included."""
 
-ROOM_AFTER_S = 0.15
+CAPACITY_RETRY_AFTER_S = 0.15
 """When a caller may come back whose request no backend server would take: a full one
 has ended about three of its usual calls of 50 ms in that time."""
 
-REPEAT_GOAL_SHARE = 0.6
+RETRY_OBJECTIVE_FRACTION = 0.6
 """Share of the route's goal after which a repeatable request that has no answer
 goes to another backend server: the second answer may still be on time."""
 
@@ -45,7 +45,7 @@
 """What another availability zone counts against a backend server, in requests in
 flight."""
 
-LEAST_USUAL_S = 0.05
+MIN_TYPICAL_S = 0.05
 """Backend servers that usually answer faster than this, or whose usual time is not
 known yet, count as equally fast."""
 
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class WholeAnswer:
+class CompleteAnswer:
     """A complete answer of a backend server."""
 
     status: int
@@ -84,10 +84,10 @@
     async def serve(self, request: ServedRequest, reply: Reply) -> None:
         """Serve one request; the reply has its final answer afterwards."""
         tried: list[str] = []
-        failed_answer: WholeAnswer | None = None
+        last_answer: CompleteAnswer | None = None
         problem = SendFailure(SendProblem.NOT_SENT, "no backend server")
-        for _ in range(MOST_SENDS):
-            backend = await self._next(request, tried)
+        for _ in range(MAX_SENDS):
+            backend = await self._next_backend(request, tried)
             if backend is None or not self._may_send(request):
                 break
             tried.append(backend.backend_id)
@@ -98,23 +98,21 @@
                     await self.crashes.until_known(backend)
                 continue
             request.was_answered = True
-            failed_answer = got.unwrap()
-            if failed_answer.status < _SERVER_ERROR:
+            last_answer = got.unwrap()
+            if last_answer.status < _SERVER_ERROR:
                 break
-        if failed_answer is not None:
-            request.timeline.passed_on(self.timer.now_s())
-            await reply.whole(
-                failed_answer.status, failed_answer.headers, failed_answer.body
-            )
+        if last_answer is not None:
+            request.timeline.record_output(self.timer.now_s())
+            await reply.whole(last_answer.status, last_answer.headers, last_answer.body)
             return
         await reply.refuse(self._failure(request, problem))
 
-    async def _next(
+    async def _next_backend(
         self, request: ServedRequest, tried: Collection[str]
     ) -> BackendServer | None:
         """Return the backend server that is asked next, and may be."""
         began_s = self.timer.now_s()
-        until_s = began_s + LEFT_SHARE * request.left_s(began_s)
+        until_s = began_s + MAX_WAIT_FRACTION * request.left_s(began_s)
         while True:
             backend = self._choose(request.service, tried)
             if backend is not None:
@@ -142,23 +140,23 @@
     def _may_send(self, request: ServedRequest) -> bool:
         if not request.may_run(self.directory.backends, self.timer.now_s()):
             return False
-        if self.admission.still_allowed(request) is not None:
+        if self.admission.recheck(request) is not None:
             return False
         return request.arrivals == 0 or self.budget.spend(request.service)
 
     def _choose(self, service: str, tried: Collection[str]) -> BackendServer | None:
-        held = self.permits.pressure.held()
+        blocked = self.permits.pressure.held()
         untried = self._untried(service, tried)
-        backends = [b for b in untried if b.backend_id not in held]
-        sound = [b for b in backends if not self.health.is_avoided(b.backend_id)]
-        return min(sound or backends, key=self._cost, default=None)
+        backends = [b for b in untried if b.backend_id not in blocked]
+        healthy = [b for b in backends if not self.health.is_avoided(b.backend_id)]
+        return min(healthy or backends, key=self._cost, default=None)
 
     def _cost(self, backend: BackendServer) -> float:
         cost = 1.0 + self.health.in_flight[backend.backend_id]
         if backend.zone != self.zone:
             cost += OTHER_ZONE_COST
-        usual_s = max(self.health.typical_s(backend.backend_id), LEAST_USUAL_S)
-        return cost * usual_s + self.rng.random() * TIE_SHARE * LEAST_USUAL_S
+        usual_s = max(self.health.typical_s(backend.backend_id), MIN_TYPICAL_S)
+        return cost * usual_s + self.rng.random() * TIE_SHARE * MIN_TYPICAL_S
 
     def _answer_timeout_s(
         self, request: ServedRequest, backend: BackendServer, tried: Collection[str]
@@ -170,16 +168,16 @@
         if self._choose(request.service, tried) is None:
             return left_s
         usual_s = 3.0 * self.health.typical_s(backend.backend_id)
-        patience_s = max(REPEAT_GOAL_SHARE * request.route.goal_s, usual_s)
+        patience_s = max(RETRY_OBJECTIVE_FRACTION * request.route.goal_s, usual_s)
         return min(left_s, patience_s)
 
     async def _send(
         self, request: ServedRequest, backend: BackendServer, tried: Collection[str]
-    ) -> Result[WholeAnswer, SendFailure]:
+    ) -> Result[CompleteAnswer, SendFailure]:
         began_s = self.timer.now_s()
         timeout_s = self._answer_timeout_s(request, backend, tried)
         in_flight = self.health.in_flight[backend.backend_id]
-        request.timeline.sent(began_s, in_flight)
+        request.timeline.record_send(began_s, in_flight)
         self.health.in_flight[backend.backend_id] += 1
         try:
             got = await self._exchange(request, backend, timeout_s)
@@ -195,7 +193,7 @@
 
     async def _exchange(
         self, request: ServedRequest, backend: BackendServer, timeout_s: float
-    ) -> Result[WholeAnswer, SendFailure]:
+    ) -> Result[CompleteAnswer, SendFailure]:
         ends_s = self.timer.now_s() + timeout_s
         sent = await self.exchange.send(request, backend, head_timeout_s=timeout_s)
         if sent.is_err():
@@ -217,11 +215,11 @@
             return Err(SendFailure(problem, repr(error)))
         finally:
             answer.close()
-        return Ok(_whole(answer, body))
+        return Ok(_complete_answer(answer, body))
 
     def _failure(self, request: ServedRequest, problem: SendFailure) -> Failure:
         if not request.ran_at:
-            stopped = self.admission.still_allowed(request)
+            stopped = self.admission.recheck(request)
             return stopped or Failure.from_code(
                 ResultCode.BACKEND_REFUSED,
                 problem.detail,
@@ -236,19 +234,19 @@
         """Return when a caller may come back that no backend server would take."""
         hold = self._first_hold(request.service, ())
         if hold is None:
-            return ROOM_AFTER_S
+            return CAPACITY_RETRY_AFTER_S
         left_s = max(request.left_s(self.timer.now_s()), 0.0)
-        return max(min(hold.free_s, LEFT_SHARE * left_s), ROOM_AFTER_S)
+        return max(min(hold.free_s, MAX_WAIT_FRACTION * left_s), CAPACITY_RETRY_AFTER_S)
 
 
-def _whole(answer: BackendAnswer, body: bytes) -> WholeAnswer:
-    return WholeAnswer(answer.status, answer_headers(answer.headers), body)
+def _complete_answer(answer: BackendAnswer, body: bytes) -> CompleteAnswer:
+    return CompleteAnswer(answer.status, answer_headers(answer.headers), body)
 
 
 def _log_failed(
     request: ServedRequest,
     backend: BackendServer,
-    got: Result[WholeAnswer, SendFailure],
+    got: Result[CompleteAnswer, SendFailure],
     took_s: float,
 ) -> None:
     failure = got.err()
--- a/packages/serving/src/fordhatch/serving/_request.py
+++ b/packages/serving/src/fordhatch/serving/_request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way, and the answer to it."""
+"""A caller's request while it is served, and the reply to it."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 @attrs.define(eq=False, repr=False)
 class Timeline:
-    """When the parts of a request's answer came; moments in monotonic seconds."""
+    """Times of a request's answer, in monotonic seconds."""
 
     sent_s: float | None = None
-    """First send to a backend server."""
+    """Time of the first attempt at a backend server."""
     in_flight: int = 0
-    """This node's other requests at that backend server then."""
+    """This node's other requests in flight at that backend server at that time."""
     first_s: float | None = None
-    """First event, or the whole answer."""
+    """Time of the first event, or of the complete answer."""
     last_s: float | None = None
-    """Newest event."""
+    """Time of the newest event."""
     longest_pause_s: float = 0.0
-    """Longest time between two events, changes of the group included."""
+    """Longest time between two events, including changes of the group, in seconds."""
 
-    def sent(self, now_s: float, in_flight: int) -> None:
-        """Note a send."""
+    def record_send(self, now_s: float, in_flight: int) -> None:
+        """Record an attempt; only the first one counts."""
         if self.sent_s is None:
             self.sent_s = now_s
             self.in_flight = in_flight
 
-    def passed_on(self, now_s: float) -> None:
-        """Note that events, or a whole answer, went out to the caller."""
+    def record_output(self, now_s: float) -> None:
+        """Record that events, or a complete answer, were sent to the caller."""
         if self.first_s is None:
             self.first_s = now_s
         else:
@@ -44,65 +44,71 @@
 
 @attrs.define(eq=False, repr=False)
 class ServedRequest:
-    """A request that was admitted."""
+    """An admitted request."""
 
     fields: CallFields
     route: Route
     service: str
-    """The service that was chosen among the route's targets."""
+    """Service chosen among the route's targets."""
     workspace: Workspace | None
     method: str
     target: str
     """Path and query exactly as the caller sent them."""
     headers: list[tuple[str, str]]
-    """Headers that go on to the backend server."""
+    """Headers to forward to the backend server."""
     body: bytes
     arrived_s: float
-    ends_s: float
-    """When the final answer is due: the caller's deadline or the route's timeout,
-    whichever comes first; monotonic seconds."""
+    due_s: float
+    """When the final answer is due: the earlier of the caller's deadline and the
+    route's timeout, in monotonic seconds."""
     arrivals: int = 0
-    """How often it reached a backend server, refusals included."""
+    """Number of times it reached a backend server, including refusals."""
     ran_at: list[str] = attrs.field(factory=list)
     """Backend servers that may have run it."""
     may_go: Callable[[str], Failure | None] = lambda _: None
-    """Says why it may no longer be sent to a backend server, if so: asked once more
-    when the connection stands, as the machine may have stood still meanwhile."""
+    """Returns why the request may no longer be sent to a backend server, or None. It
+    is called again once the connection is open, because the instance may have been
+    suspended while connecting."""
     timeline: Timeline = attrs.field(factory=Timeline)
-    """When its parts came, for logs."""
+    """Times of its answer, for logs."""
     was_answered: bool = False
-    """Whether a backend server's whole answer came."""
+    """Whether a complete answer of a backend server was received."""
     is_over: bool = False
-    """Whether nothing more will be sent for it."""
+    """Whether no further attempt will be made."""
 
     def arrived_at(self, backend_id: str, *, may_have_run: bool) -> None:
-        """Note that a backend server got the request."""
+        """Record that a backend server received the request.
+
+        Args:
+            backend_id: The backend server.
+            may_have_run: Whether it may have executed the request.
+        """
         self.arrivals += 1
         if may_have_run:
             self.ran_at.append(backend_id)
 
     @property
     def urgency(self) -> int:
-        """Rank among waiting requests; a workspace's goes before the route's."""
+        """Rank among waiting requests; a workspace's priority overrides the route's."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
     def counted_runs(self, listed: Container[str], *also: str) -> int:
-        """Return how many runs count for the attempts that the route allows.
+        """Return how many runs count towards the attempts that the route allows.
 
         Args:
-            listed: Backend servers that are there; runs at others don't count.
-            also: Backend servers that may run it now.
+            listed: Registered backend servers; runs at other ones don't count.
+            also: Backend servers that may be running it now.
         """
         return sum(b in listed for b in {*self.ran_at, *also})
 
     def may_run(self, listed: Container[str], now_s: float) -> bool:
-        """Return whether it may be sent to a backend server, or to another one.
+        """Return whether the route and the deadline allow an attempt or a retry.
 
         Args:
-            listed: Backend servers that are there.
-            now_s: Monotonic seconds.
+            listed: Registered backend servers.
+            now_s: Current time in monotonic seconds.
         """
         if self.left_s(now_s) <= 0:
             return False
@@ -112,22 +118,22 @@
 
     def left_s(self, now_s: float) -> float:
         """Return the time until the final answer is due, in seconds."""
-        return self.ends_s - now_s
+        return self.due_s - now_s
 
 
 class Reply(Protocol):
-    """Where the answer goes."""
+    """Writes the answer to a caller."""
 
     outcome: str
-    """What the caller got, for logs and metrics."""
+    """Result as the caller sees it, for logs and metrics."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether any byte of the answer has gone out."""
+        """Whether any byte of the answer was sent."""
         ...
 
     async def refuse(self, failure: Failure) -> None:
-        """Answer with the system's own failure."""
+        """Answer with a failure of the system itself."""
         ...
 
     async def whole(
@@ -137,17 +143,17 @@
         ...
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begin an answer whose body follows in pieces."""
+        """Start an answer whose body is streamed."""
         ...
 
     async def write(self, piece: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Send a piece of the body."""
         ...
 
     async def end(self) -> None:
-        """End an answer that is complete."""
+        """Finish a complete answer."""
         ...
 
     async def abort(self) -> None:
-        """Break off an answer so that it can't be taken for a complete one."""
+        """Abort an answer so that the caller can't take it for a complete one."""
         ...
--- a/packages/serving/src/fordhatch/serving/_request_digest.py
+++ b/packages/serving/src/fordhatch/serving/_request_digest.py
@@ -9,7 +9,7 @@
 DIGEST_BYTES = 16
 """Two of the contents of a day have the same digest by chance once in 10**30 days."""
 
-_PERSON = b"request-content"
+_PERSONALIZATION = b"request-content"
 _LENGTH_BYTES = 8
 
 
@@ -26,7 +26,7 @@
         key: The key that the nodes share.
     """
     caller = request.workspace.name if request.workspace is not None else ""
-    digest = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key, person=_PERSON)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key, person=_PERSONALIZATION)
     for part in (request.target.encode(), caller.encode(), request.body):
         digest.update(len(part).to_bytes(_LENGTH_BYTES))
         digest.update(part)
--- a/packages/serving/src/fordhatch/serving/_request_path.py
+++ b/packages/serving/src/fordhatch/serving/_request_path.py
@@ -1,4 +1,4 @@
-"""Every part between an admitted request and a backend server, put together."""
+"""Construction of a node's request path."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 @attrs.define(eq=False, repr=False)
 class RequestPath:
-    """One node's request path; its edges for callers stand before it."""
+    """One node's request path, from admission to the exchange with backend servers.
+
+    Servers for callers are built on top of it.
+    """
 
     state: NodeState
     admission: Admission
@@ -53,14 +56,14 @@
         exchange: ExchangeClient,
         timer: Timer,
     ) -> RequestPath:
-        """Put the path of a node together.
+        """Create the request path of a node.
 
         Args:
-            node_name: The node's name, for what it tells the others.
-            zone: The node's availability zone; groups there go first.
-            state: The node's condition and its view of the store.
-            store: Takes the rows about lost and slow members, and about crashes.
-            backends: Asks the members of silent groups.
+            node_name: The node's name, for reports to other nodes.
+            zone: The node's availability zone; groups there are preferred.
+            state: The node's state and its view of the store.
+            store: Stores the rows about lost and slow members and about crashes.
+            backends: Queries the members of silent groups.
             exchange: Sends requests to backend servers.
             timer: The node's timer.
         """
@@ -139,7 +142,7 @@
         )
 
     def forget_gone(self) -> None:
-        """Drop what is remembered of backend servers and groups that are gone."""
+        """Drop the state of backend servers and groups that no longer exist."""
         backends = self.state.view.directory.backends
         self.health.keep_only(set(backends))
         self.permits.keep_only(set(backends))
@@ -148,6 +151,6 @@
         self.crashes.forget()
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel background tasks."""
         await self.stalls.close()
         await self.crashes.close()
--- a/packages/serving/src/fordhatch/serving/_stream_call.py
+++ b/packages/serving/src/fordhatch/serving/_stream_call.py
@@ -15,9 +15,9 @@
 from ._demand_meter import DemandMeter
 from ._events import EventOrder
 from ._exchange import SendFailure
-from ._group_wait import LEFT_SHARE, GroupWait, group_wait
+from ._group_wait import MAX_WAIT_FRACTION, GroupWait, group_wait
 from ._head_choice import HeadChoice
-from ._node_state import OTHER_NODE_AFTER_S
+from ._node_state import OTHER_NODE_RETRY_AFTER_S
 from ._permits import Permits
 from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
@@ -26,7 +26,7 @@
 MOST_SENDS = 6
 """Sends of one request at the most, refusals and failed connections included."""
 
-HOLD_BEGUN_S = 1.8
+MAX_RESUME_WAIT_S = 1.8
 """How long a stream that has begun may wait for another group: callers give up after
 a gap of two seconds."""
 
@@ -89,16 +89,16 @@
         if not request.may_run(self.directory.backends, self.timer.now_s()):
             return None
         began_s = self.timer.now_s()
-        while self.admission.still_allowed(request) is None:
+        while self.admission.recheck(request) is None:
             head = self.choice.choose(request.service, stream.model, stream.tried)
             if head is None:
-                if not await self._until_chance(stream, began_s):
+                if not await self._wait_for_head(stream, began_s):
                     return None
             elif await self.permits.take(head):
-                return head if self._may_repeat(request) else None
+                return head if self._may_retry(request) else None
         return None
 
-    def _may_repeat(self, request: ServedRequest) -> bool:
+    def _may_retry(self, request: ServedRequest) -> bool:
         """Return whether a send fits the budget, if it is not the first."""
         if request.arrivals == 0:
             return True
@@ -109,7 +109,7 @@
         metrics.REPEATS.labels("sent").inc()
         return True
 
-    async def _until_chance(self, stream: Stream, began_s: float) -> bool:
+    async def _wait_for_head(self, stream: Stream, began_s: float) -> bool:
         """Wait for a group that opens, or a head that takes requests again.
 
         Returns:
@@ -118,25 +118,25 @@
         request, now_s = stream.request, self.timer.now_s()
         hold = self.choice.first_hold(request.service, stream.model, stream.tried)
         if hold is not None:
-            patience_s = began_s + self._patience_s(stream, began_s) - now_s
+            patience_s = began_s + self._max_wait_s(stream, began_s) - now_s
             waits = hold.free_s <= patience_s
             if now_s == began_s or not waits:
                 self.permits.log_hold(request.fields.request_id, hold, waits=waits)
             if waits:
                 await self._wait_for_change(hold.free_s)
                 return True
-        hold_s = HOLD_BEGUN_S
+        hold_s = MAX_RESUME_WAIT_S
         if not stream.reply.has_begun:
             hold_s = self._group_wait(stream).hold_s
-        left_s = min(began_s + hold_s, request.ends_s) - now_s
+        left_s = min(began_s + hold_s, request.due_s) - now_s
         return left_s > 0 and await self._wait_for_change(left_s)
 
-    def _patience_s(self, stream: Stream, began_s: float) -> float:
+    def _max_wait_s(self, stream: Stream, began_s: float) -> float:
         """Return how long a stream waits for a head that is to take requests again."""
         left_s = stream.request.left_s(began_s)
         if stream.reply.has_begun:
-            return min(HOLD_BEGUN_S, left_s)
-        return LEFT_SHARE * left_s
+            return min(MAX_RESUME_WAIT_S, left_s)
+        return MAX_WAIT_FRACTION * left_s
 
     def _group_wait(self, stream: Stream) -> GroupWait:
         backends = self.directory.of_service(stream.request.service)
@@ -174,7 +174,7 @@
         request = stream.request
         left_s = request.left_s(self.timer.now_s())
         if not request.ran_at:
-            stopped = self.admission.still_allowed(request)
+            stopped = self.admission.recheck(request)
             return stopped or Failure.from_code(
                 ResultCode.NO_GROUP_READY,
                 ran=Ran.NO,
@@ -191,4 +191,4 @@
         hold = self.choice.first_hold(stream.request.service, stream.model, ())
         if hold is None:
             return retry_after_s
-        return min(retry_after_s, max(hold.free_s, OTHER_NODE_AFTER_S))
+        return min(retry_after_s, max(hold.free_s, OTHER_NODE_RETRY_AFTER_S))
--- a/packages/serving/src/fordhatch/serving/_stream_run.py
+++ b/packages/serving/src/fordhatch/serving/_stream_run.py
@@ -32,7 +32,7 @@
 RESUMED_URGENCY = 0
 """Streams that go on elsewhere are admitted first: their callers wait already."""
 
-PATIENCE = 4.0
+STREAM_SILENCE_FACTOR = 4.0
 """A single stream that is silent this many times longer than its group may be, while
 other streams of the group go on, is given up."""
 
@@ -40,7 +40,7 @@
 _SERVER_ERROR = 500
 
 
-class _Broken(Exception):  # noqa: N818
+class _RunFailed(Exception):  # noqa: N818
     """A run ended before its stream was complete."""
 
     def __init__(self, problem: SendProblem, detail: str) -> None:
@@ -85,9 +85,9 @@
 
     def __attrs_post_init__(self) -> None:
         """Stop runs when their content is held back."""
-        self.crashes.quarantine.subscribe(self._stop)
+        self.crashes.quarantine.subscribe(self._cancel_runs)
 
-    def _stop(self, digests: frozenset[str]) -> None:
+    def _cancel_runs(self, digests: frozenset[str]) -> None:
         """Break off runs of contents that end backend servers, also in their queues.
 
         Callers who ask all at once would end every group otherwise. A run
@@ -106,16 +106,16 @@
         head_id = head.backend_id
         began_s = self.timer.now_s()
         events = stream.events
-        stream.request.timeline.sent(began_s, self.health.in_flight[head_id])
+        stream.request.timeline.record_send(began_s, self.health.in_flight[head_id])
         self.health.in_flight[head_id] += 1
         progress = self.progress.began(head_id)
         self._running[id(progress)] = stream, progress
         try:
-            await self._pass_on(stream, head, progress)
+            await self._forward(stream, head, progress)
             self.health.succeeded(head_id, self.timer.now_s() - began_s)
             return Ok(None)
-        except _Broken as broken:
-            self._note(stream, head, broken.failure, began_s, events)
+        except _RunFailed as broken:
+            self._record_failure(stream, head, broken.failure, began_s, events)
             if broken.failure.problem is SendProblem.CONNECTION_LOST:
                 stage = _stage(progress, stream.events - events)
                 self.crashes.broke(stream.request, head, stage)
@@ -125,7 +125,7 @@
             self.progress.ended(progress)
             self.health.in_flight[head_id] -= 1
 
-    def _note(
+    def _record_failure(
         self,
         stream: Stream,
         head: BackendServer,
@@ -145,10 +145,12 @@
         )
         if failure.problem is SendProblem.HELD_BACK:
             return
-        self._doubt(stream, head, failure.problem)
+        self._check_group(stream, head, failure.problem)
         self.health.failed(head.backend_id)
 
-    def _doubt(self, stream: Stream, head: BackendServer, problem: SendProblem) -> None:
+    def _check_group(
+        self, stream: Stream, head: BackendServer, problem: SendProblem
+    ) -> None:
         """Look into a group whose run has failed, unless only time has run out."""
         if problem is SendProblem.REFUSED:
             return
@@ -157,16 +159,16 @@
         elif stream.request.left_s(self.timer.now_s()) > 0:
             self.stalls.silent(head)
 
-    async def _pass_on(
+    async def _forward(
         self, stream: Stream, head: BackendServer, progress: RunProgress
     ) -> None:
         answer = await self._open(stream, head, progress)
         progress.has_answer = True
         try:
             if answer.status != _OK:
-                await self._pass_on_whole(stream, answer)
+                await self._forward_complete(stream, answer)
                 return
-            await self._pass_on_events(stream, head, answer, progress)
+            await self._forward_events(stream, head, answer, progress)
         finally:
             answer.close()
 
@@ -186,8 +188,8 @@
             )
         )
         try:
-            await self._until_done(stream, head, progress, send)
-        except _Broken:
+            await self._wait_for_step(stream, head, progress, send)
+        except _RunFailed:
             request.arrived_at(head.backend_id, may_have_run=True)
             raise
         finally:
@@ -197,12 +199,12 @@
         if sent.is_err():
             failure = sent.unwrap_err()
             self.pressure.heard(head, failure.backpressure)
-            raise _Broken(failure.problem, failure.detail)
+            raise _RunFailed(failure.problem, failure.detail)
         answer = sent.unwrap()
         self.pressure.heard(head, answer.fields.backpressure)
         return answer
 
-    async def _until_done(
+    async def _wait_for_step(
         self,
         stream: Stream,
         head: BackendServer,
@@ -217,19 +219,21 @@
             left_s = stream.request.left_s(self.timer.now_s())
             await asyncio.wait([step], timeout=max(min(limit_s, left_s), 0.0))
             if step.cancelled():
-                raise _Broken(SendProblem.HELD_BACK, "its content ends backend servers")
+                raise _RunFailed(
+                    SendProblem.HELD_BACK, "its content ends backend servers"
+                )
             if step.done():
                 return
             now_s = self.timer.now_s()
             if stream.request.left_s(now_s) <= 0:
-                raise _Broken(SendProblem.SILENT, "out of time")
+                raise _RunFailed(SendProblem.SILENT, "out of time")
             silent_s = self._silent_s(stream, progress, limit_s)
             waited_s = now_s - waiting_since_s
             if silent_s > 0:
                 self.stalls.silent(head)
-                self._leave_if_possible(stream, head, f"silent for {silent_s:.3f}")
-            elif waited_s >= PATIENCE * limit_s:
-                self._leave_if_possible(stream, head, f"waited for {waited_s:.3f}")
+                self._abandon_if_possible(stream, head, f"silent for {silent_s:.3f}")
+            elif waited_s >= STREAM_SILENCE_FACTOR * limit_s:
+                self._abandon_if_possible(stream, head, f"waited for {waited_s:.3f}")
 
     def _silent_s(self, stream: Stream, progress: RunProgress, limit_s: float) -> float:
         """Return how long a group has been silent; 0 while that means nothing."""
@@ -243,7 +247,7 @@
         patience_s = self.progress.first_patience_s(stream.profile, stream.model)
         return waited_s if waited_s >= patience_s else 0.0
 
-    def _leave_if_possible(
+    def _abandon_if_possible(
         self, stream: Stream, head: BackendServer, detail: str
     ) -> None:
         """Break off a silent run, but only if another group may take over.
@@ -257,23 +261,23 @@
         other = self.choice.choose(request.service, stream.model, stream.tried)
         ran = request.counted_runs(self.directory.backends, head.backend_id)
         if other is not None and ran < request.route.attempts:
-            raise _Broken(SendProblem.SILENT, detail)
+            raise _RunFailed(SendProblem.SILENT, detail)
 
-    async def _pass_on_whole(self, stream: Stream, answer: BackendAnswer) -> None:
+    async def _forward_complete(self, stream: Stream, answer: BackendAnswer) -> None:
         """Pass on an answer that is no stream: a failure of the backend server."""
         try:
             async with self.timer.timeout(stream.request.left_s(self.timer.now_s())):
                 body = await answer.read_all()
         except TimeoutError as error:
-            raise _Broken(SendProblem.SILENT, repr(error)) from error
+            raise _RunFailed(SendProblem.SILENT, repr(error)) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise _Broken(connection_problem(error), repr(error)) from error
+            raise _RunFailed(connection_problem(error), repr(error)) from error
         can_repeat = stream.request.may_run(self.directory.backends, self.timer.now_s())
         if stream.reply.has_begun or (answer.status >= _SERVER_ERROR and can_repeat):
-            raise _Broken(SendProblem.BROKEN, f"status {answer.status}")
+            raise _RunFailed(SendProblem.BROKEN, f"status {answer.status}")
         await stream.reply.whole(answer.status, answer_headers(answer.headers), body)
 
-    async def _pass_on_events(
+    async def _forward_events(
         self,
         stream: Stream,
         head: BackendServer,
@@ -287,15 +291,15 @@
             if not piece:
                 break
             self.progress.advanced(progress, stream.model)
-            last_s = self._note_pause(stream, head, last_s)
-            await self._pass_on_piece(stream, answer, splitter, piece)
-        if splitter.has_rest:
-            raise _Broken(SendProblem.BROKEN, "ended within an event")
+            last_s = self._record_pause(stream, head, last_s)
+            await self._forward_piece(stream, answer, splitter, piece)
+        if splitter.has_partial_event:
+            raise _RunFailed(SendProblem.BROKEN, "ended within an event")
         if not stream.reply.has_begun:
             await stream.reply.begin(answer.status, answer_headers(answer.headers))
         await stream.reply.end()
 
-    def _note_pause(
+    def _record_pause(
         self, stream: Stream, head: BackendServer, last_s: float | None
     ) -> float:
         now_s = self.timer.now_s()
@@ -311,7 +315,7 @@
                 self.stalls.check(head, SLOW_AGAIN_S)
         return now_s
 
-    async def _pass_on_piece(
+    async def _forward_piece(
         self,
         stream: Stream,
         answer: BackendAnswer,
@@ -331,14 +335,14 @@
             await self._write(stream, answer, b"".join(fresh))
             stream.events += len(fresh)
         if problem is not None:
-            raise _Broken(SendProblem.BROKEN, str(problem)) from problem
+            raise _RunFailed(SendProblem.BROKEN, str(problem)) from problem
 
     async def _write(
         self, stream: Stream, answer: BackendAnswer, events: bytes
     ) -> None:
         if not stream.reply.has_begun:
             await stream.reply.begin(answer.status, answer_headers(answer.headers))
-        stream.request.timeline.passed_on(self.timer.now_s())
+        stream.request.timeline.record_output(self.timer.now_s())
         await stream.reply.write(events)
 
     async def _next_piece(
@@ -350,10 +354,10 @@
     ) -> bytes:
         read = asyncio.ensure_future(answer.read_piece())
         try:
-            await self._until_done(stream, head, progress, read)
+            await self._wait_for_step(stream, head, progress, read)
             return read.result()
         except (aiohttp.ClientError, OSError) as error:
-            raise _Broken(connection_problem(error), repr(error)) from error
+            raise _RunFailed(connection_problem(error), repr(error)) from error
         finally:
             read.cancel()
 
--- a/packages/serving/tests/test_knowledge.py
+++ b/packages/serving/tests/test_knowledge.py
@@ -12,7 +12,7 @@
 from planning_site import BOUNDS
 
 from fordhatch.adapter import decode_settings
-from fordhatch.serving._knowledge import Knowledge, judge_knowledge
+from fordhatch.serving._knowledge import Freshness, classify_freshness
 
 STRICT = attrs.evolve(decode_settings(BOUNDS).bounds, is_revocation_strict=True)
 LENIENT = attrs.evolve(STRICT, is_revocation_strict=False)
@@ -21,32 +21,32 @@
 @pytest.mark.parametrize(
     ("age_s", "alone", "for_all"),
     [
-        (0.3, Knowledge.CERTAIN, Knowledge.CERTAIN),
-        (1.6, Knowledge.GOOD, Knowledge.GOOD),
-        (3.4, Knowledge.GOOD, Knowledge.GOOD),
-        (3.6, Knowledge.AGEING, Knowledge.GOOD),
-        (5.0, Knowledge.STALE, Knowledge.GOOD),
-        (60.0, Knowledge.STALE, Knowledge.GOOD),
+        (0.3, Freshness.CERTAIN, Freshness.CERTAIN),
+        (1.6, Freshness.GOOD, Freshness.GOOD),
+        (3.4, Freshness.GOOD, Freshness.GOOD),
+        (3.6, Freshness.AGEING, Freshness.GOOD),
+        (5.0, Freshness.STALE, Freshness.GOOD),
+        (60.0, Freshness.STALE, Freshness.GOOD),
     ],
 )
 def test_an_outage_for_all_stops_nobody(
-    age_s: float, alone: Knowledge, for_all: Knowledge
+    age_s: float, alone: Freshness, for_all: Freshness
 ) -> None:
-    assert judge_knowledge(age_s, LENIENT, is_outage_for_all=False) is alone
-    assert judge_knowledge(age_s, LENIENT, is_outage_for_all=True) is for_all
+    assert classify_freshness(age_s, LENIENT, is_outage_for_all=False) is alone
+    assert classify_freshness(age_s, LENIENT, is_outage_for_all=True) is for_all
 
 
 @pytest.mark.parametrize("is_for_all", [False, True])
 def test_a_strict_removal_of_keys_is_kept_in_any_outage(is_for_all: bool) -> None:
     for age_s, expected in (
-        (2.4, Knowledge.GOOD),
-        (3.0, Knowledge.AGEING),
-        (3.6, Knowledge.STALE),
+        (2.4, Freshness.GOOD),
+        (3.0, Freshness.AGEING),
+        (3.6, Freshness.STALE),
     ):
-        found = judge_knowledge(age_s, STRICT, is_outage_for_all=is_for_all)
+        found = classify_freshness(age_s, STRICT, is_outage_for_all=is_for_all)
         assert found is expected, age_s
 
 
 def test_what_is_unknown_is_denied_by_certain_knowledge_only() -> None:
-    found = judge_knowledge(1.6, LENIENT, is_outage_for_all=True)
-    assert found is not Knowledge.CERTAIN
+    found = classify_freshness(1.6, LENIENT, is_outage_for_all=True)
+    assert found is not Freshness.CERTAIN
--- a/packages/serving/tests/test_parts.py
+++ b/packages/serving/tests/test_parts.py
@@ -35,7 +35,7 @@
     assert (
         b"".join(e.raw for e in events) == b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n"
     )
-    assert splitter.has_rest
+    assert splitter.has_partial_event
 
 
 def test_events_go_out_once_and_in_order() -> None:
