--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -64,7 +64,7 @@
         "serving/_request.py",
         "        if self.ran_at and not self.route.is_repeatable:\n",
         "        if False:\n",
-        f"{SERVING}/test_plain_calls.py -k not_sent_again",
+        f"{SERVING}/test_plain_calls.py -k not_retried",
     ),
     Guard(
         "TWICE: a stream that may not be resumed runs once",
@@ -127,7 +127,7 @@
         "serving/_node_state.py",
         "        if self.freshness() is Freshness.STALE:\n",
         "        if False:\n",
-        f"{SERVING}/test_door.py -k without_confirmation",
+        f"{SERVING}/test_admission.py -k without_confirmation",
     ),
     Guard(
         "CONFIG: a relayed confirmation carries its age",
@@ -148,14 +148,14 @@
         "serving/_admission.py",
         "        if self.state.freshness() is not Freshness.CERTAIN:\n",
         "        if False:\n",
-        f"{SERVING}/test_door.py -k denies_nothing",
+        f"{SERVING}/test_admission.py -k no_final_refusal",
     ),
     Guard(
         "UNASKED: two keys are none",
         "serving/_admission.py",
         " if len(api_keys) == 1 else None",
         " if api_keys else None",
-        f"{SERVING}/test_door.py -k two_keys",
+        f"{SERVING}/test_admission.py -k two_keys",
     ),
     Guard(
         "UNASKED: headers of the system are its own",
@@ -225,14 +225,14 @@
         "serving/_knowledge.py",
         "    if is_outage_for_all and not bounds.is_revocation_strict:\n",
         "    if is_outage_for_all:\n",
-        f"{SERVING}/test_knowledge.py -k strict_removal",
+        f"{SERVING}/test_freshness.py -k strict_removal",
     ),
     Guard(
         "DENIED: knowledge in an outage denies nothing",
         "serving/_knowledge.py",
         "        return Freshness.GOOD\n",
         "        return Freshness.CERTAIN\n",
-        f"{SERVING}/test_knowledge.py -k denied_by_certain",
+        f"{SERVING}/test_freshness.py -k denied_by_a_certain",
     ),
     Guard(
         "fencing: who is refused for an older token stops planning",
--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -40,14 +40,14 @@
         "serving/_plain_call.py",
         " if b.backend_id not in blocked]",
         "]",
-        f"{SERVING}/test_plain_calls.py -k short_rest",
+        f"{SERVING}/test_plain_calls.py -k short_backoff",
     ),
     Guard(
         "rest: it ends within a bound",
         "serving/_pressure_book.py",
         "min(rest_s, MOST_HOLD_S - REST_SPREAD_S)",
         "rest_s",
-        f"{SERVING}/test_plain_calls.py -k rest_of_a_year",
+        f"{SERVING}/test_plain_calls.py -k backoff_of_a_year",
     ),
     Guard(
         "rest and departure: looked at again as the connection stands",
--- a/packages/serving/tests/serving_site.py
+++ b/packages/serving/tests/serving_site.py
@@ -1,4 +1,4 @@
-"""A node's request path over loopback, with backend servers that tests script."""
+"""A node's request path over loopback, with scripted backend servers."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class Got:
-    """An answer as the caller has it."""
+    """An answer as the caller receives it."""
 
     status: int
     headers: CIMultiDictProxy[str]
@@ -85,7 +85,7 @@
 
 @attrs.define(eq=False, repr=False)
 class ServingSite:
-    """One node's callers' address."""
+    """One node that serves callers, with its store and its backend servers."""
 
     model: StoreModel
     view: StoreView
@@ -147,7 +147,7 @@
         backend_id: str = "",
         **changes: object,
     ) -> ScriptedBackend:
-        """Start a backend server: a plain one, or the open head of a group."""
+        """Start and register a plain backend server, or the open head of a group."""
         backend = ScriptedBackend(script)
         self.scripted.append(backend)
         entry = entry_fields("llm" if group else "app", await backend.start())
@@ -160,7 +160,7 @@
         return backend
 
     async def start_listener(self) -> str:
-        """Start a backend server that only reports; returns its address."""
+        """Start a backend server that only answers queries; returns its address."""
 
         async def serves_nothing(request: object, writer: object) -> None:
             raise AssertionError("a member got a request")
@@ -170,12 +170,12 @@
         return await self.listener.start()
 
     async def register(self, name: str, entry: dict[str, object]) -> None:
-        """Write an entry and wait until the node has seen it."""
+        """Write an entry and wait until the node has read it."""
         version = self.model.put(BACKENDS_TABLE, name, json.dumps(entry).encode())
         await self.until(lambda: self.view.backends.version.number >= version)
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something holds; fails only if it never does."""
+        """Wait until a condition holds; fails after 20 s."""
         async with asyncio.timeout(20):
             while not holds():
                 await asyncio.sleep(0.005)
@@ -183,7 +183,7 @@
     async def ask(
         self, path: str, *, method: str = "POST", body: bytes = b"", **headers: str
     ) -> Got:
-        """Send a request and read its answer whole."""
+        """Send a request and read its complete answer."""
         self._requests += 1
         usual = STREAM_HEADERS if path.startswith("/s") else CALL_HEADERS
         sent = {**usual, "X-Attempt-Id": f"r{self._requests}", **headers}
@@ -195,7 +195,7 @@
             return Got(response.status, response.headers, body)
 
     async def raw(self, data: bytes) -> bytes:
-        """Send bytes on a connection of their own; returns all that comes back."""
+        """Send bytes on a new connection; returns everything received within 1 s."""
         host, _, port = self.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(data)
--- a/packages/serving/tests/test_door.py
+++ b/packages/serving/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is let in: malformed requests, keys, routes, freshness, leaving."""
+"""Admission control: malformed requests, keys, routes, freshness, shutdown."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-async def test_malformed_requests_reach_nobody(site, name) -> None:
+async def test_malformed_requests_reach_no_backend_server(site, name) -> None:
     backend = await site.add_backend(answers)
     smuggled = f"POST /once/2 HTTP/1.1\r\n{HEAD}Content-Length: 0\r\n\r\n"
     got = await site.raw((MALFORMED[name] + smuggled).encode())
@@ -51,7 +51,7 @@
     assert backend.seen == []
 
 
-async def test_a_chunked_body_passes_whole(site) -> None:
+async def test_a_chunked_body_is_forwarded_complete(site) -> None:
     backend = await site.add_backend(answers)
     got = await site.raw(
         f"POST /once/ HTTP/1.1\r\n{HEAD}Connection: close\r\n"
@@ -76,7 +76,7 @@
     assert backend.seen == []
 
 
-async def test_two_keys_are_none(site) -> None:
+async def test_a_request_with_two_keys_is_refused(site) -> None:
     backend = await site.add_backend(answers)
     got = await site.raw(
         f"POST /once/ HTTP/1.1\r\n{HEAD}Api-Key: {KEY}\r\n"
@@ -91,7 +91,7 @@
     assert got.status == 404
 
 
-async def test_before_the_first_configuration_nothing_is_denied_for_good(site) -> None:
+async def test_refusals_before_the_first_configuration_can_be_retried(site) -> None:
     site.view.configuration.current = None
     got = await site.ask("/once/1")
     assert got.status == 503
@@ -122,14 +122,14 @@
     assert len(backend.seen) == 1
 
 
-async def test_a_node_out_of_touch_denies_nothing_for_good(site) -> None:
+async def test_a_node_cut_off_from_the_store_sends_no_final_refusal(site) -> None:
     site.model.faults.is_down = True
     site.view.operators.confirmed_s -= 1.8
     assert (await site.ask("/none/1")).status == 503
     assert (await site.ask("/once/1", **{"Api-Key": "new"})).status == 503
 
 
-async def test_a_leaving_node_serves_on_and_closes_connections(site) -> None:
+async def test_a_leaving_node_still_serves_and_closes_connections(site) -> None:
     await site.add_backend(answers)
     site.state.leave()
     got = await site.ask("/once/1")
@@ -138,7 +138,7 @@
     assert not site.state.is_ready()
 
 
-async def test_a_node_about_to_end_refuses_what_it_could_not_finish(site) -> None:
+async def test_a_node_about_to_stop_refuses_new_requests(site) -> None:
     backend = await site.add_backend(answers)
     site.state.leave()
     site.state.leaving_since_s -= 5
@@ -147,8 +147,8 @@
     assert backend.seen == []
 
 
-def waiting_call(port: int, path: str) -> socket.socket:
-    """Return a connection on which a request was sent before anybody accepted it."""
+def queued_call(port: int, path: str) -> socket.socket:
+    """Return a connection with a request, sent before the connection is accepted."""
     caller = socket.create_connection(("127.0.0.1", port))
     fields = {**CALL_HEADERS, "X-Attempt-Id": "early", "Content-Length": "0"}
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
@@ -156,10 +156,10 @@
     return caller
 
 
-async def test_who_came_before_the_node_was_loaded_is_served(site) -> None:
+async def test_a_request_sent_before_the_node_accepts_is_served(site) -> None:
     await site.add_backend(answers)
     port = socket.create_server(("127.0.0.1", 0), backlog=10)
-    caller = waiting_call(port.getsockname()[1], "/once/1")
+    caller = queued_call(port.getsockname()[1], "/once/1")
     server = await HttpServer.listen("", site.callers.handle, port)
     caller.setblocking(False)
     loop = asyncio.get_running_loop()
@@ -170,13 +170,13 @@
     await server.close()
 
 
-async def test_who_left_before_the_node_was_loaded_is_not_served(site) -> None:
-    """Pattern: callers give up while all nodes start; nothing may run for them."""
+async def test_a_call_closed_before_the_node_accepts_is_not_run(site) -> None:
+    """Callers time out while all nodes start; their requests must not run later."""
     backend = await site.add_backend(answers)
     port = socket.create_server(("127.0.0.1", 0), backlog=100)
     for _ in range(20):
-        waiting_call(port.getsockname()[1], "/once/1").close()
-    last = waiting_call(port.getsockname()[1], "/once/2")
+        queued_call(port.getsockname()[1], "/once/1").close()
+    last = queued_call(port.getsockname()[1], "/once/2")
     server = await HttpServer.listen("", site.callers.handle, port)
     last.setblocking(False)
     loop = asyncio.get_running_loop()
--- a/packages/serving/tests/test_knowledge.py
+++ b/packages/serving/tests/test_freshness.py
@@ -1,8 +1,8 @@
-"""Pattern: an outage of the store that outlasts what a confirmation is good for.
+"""Outages of the store that outlast the confirmation of the configuration.
 
-Outages of 4 to 9 s come on today's deployments. Where the removal of keys is strict
-(revoked within 5 s) requests are refused from 3.5 s on; where it is not, a change is in
-force within 2 s, 7 s in trouble of the store, and 4.9 s of that is what is used.
+Outages of the store last 4 to 9 s. With strict removal of keys (revoked within 5 s)
+requests are refused from 3.5 s on. Otherwise a change is in effect within 2 s, or 7 s
+during faults of the store, and requests are served for 4.9 s of those.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
         (60.0, Freshness.STALE, Freshness.GOOD),
     ],
 )
-def test_an_outage_for_all_stops_nobody(
+def test_a_system_wide_outage_stops_no_node(
     age_s: float, alone: Freshness, for_all: Freshness
 ) -> None:
     assert classify_freshness(age_s, LENIENT, is_outage_for_all=False) is alone
@@ -47,6 +47,6 @@
         assert found is expected, age_s
 
 
-def test_what_is_unknown_is_denied_by_certain_knowledge_only() -> None:
+def test_unknown_keys_are_denied_by_a_certain_configuration_only() -> None:
     found = classify_freshness(1.6, LENIENT, is_outage_for_all=True)
     assert found is not Freshness.CERTAIN
--- a/packages/serving/tests/test_group_wait.py
+++ b/packages/serving/tests/test_group_wait.py
@@ -1,7 +1,7 @@
-"""Pattern: the last group of a model is lost, and the next one is on its way or not.
+"""Waiting times after a model's last group is lost, with and without a pending one.
 
-Groups of today's deployments open 1.5 to 2.1 s after the decision to form them; callers
-give a stream up after two seconds without an event, and have one retry.
+Groups open 1.5 to 2.1 s after the decision to form them; callers give up a stream after
+two seconds without an event, and have one retry.
 """
 
 from __future__ import annotations
@@ -49,19 +49,19 @@
         ),
     ],
 )
-def test_only_a_group_on_its_way_is_waited_for(
+def test_only_a_pending_group_is_waited_for(
     backends: list[BackendServer], at_least_s: float, at_most_s: float
 ) -> None:
     assert at_least_s <= group_wait(backends, PROFILE, "small").hold_s <= at_most_s
 
 
-def test_who_is_refused_comes_back_when_a_group_may_be_open() -> None:
+def test_retry_after_covers_the_forming_of_a_group() -> None:
     wait = group_wait([], PROFILE, "small")
     assert SMALL_WARM_S + FORM_S < wait.retry_within_s(60.0) < 3.0
-    # Of a short time most is left for being served.
+    # Most of a short deadline is left for serving the request.
     assert wait.retry_within_s(4.0) == 1.0
     assert wait.retry_within_s(-0.1) == 0.0
 
 
-def test_a_model_that_is_not_declared_has_no_group_on_its_way() -> None:
+def test_a_model_that_is_not_declared_has_no_pending_group() -> None:
     assert group_wait([], PROFILE, "other").hold_s == 0.0
--- a/packages/serving/tests/test_parts.py
+++ b/packages/serving/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The small parts of the request path, each by itself."""
+"""Unit tests of small parts of the request path."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 @attrs.define
-class HandClock:
-    """A timer that tests move by hand."""
+class ManualClock:
+    """A timer that tests advance manually."""
 
     at_s: float = 100.0
 
@@ -27,7 +27,7 @@
         return self.at_s
 
 
-def test_only_whole_events_pass() -> None:
+def test_only_complete_events_are_returned() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: a\n") == []
     events = splitter.feed(b"\nid: 2\r\ndata: b\r\n\r\nid: 3\nda")
@@ -38,7 +38,7 @@
     assert splitter.has_partial_event
 
 
-def test_events_go_out_once_and_in_order() -> None:
+def test_events_are_accepted_once_and_in_order() -> None:
     order = EventOrder.from_last_event_id("")
     events = EventSplitter().feed(b"".join(b"id: %d\n\n" % n for n in (1, 2, 2, 1, 3)))
     assert [order.accept(e) for e in events] == [True, True, False, False, True]
@@ -62,7 +62,7 @@
         ("app.example", "/%67et/1", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(host, target, name) -> None:
+def test_the_longest_prefix_of_the_host_is_chosen(host, target, name) -> None:
     table = RouteTable.from_configuration(decode_configuration(configuration()))
     found = table.find(host, target)
     assert (found.prefix if found else None) == name
@@ -88,12 +88,12 @@
     assert choose_service(none, rng) is None
 
 
-def budget(clock: HandClock, nodes: int = 9) -> RepeatBudget:
+def budget(clock: ManualClock, nodes: int = 9) -> RepeatBudget:
     return RepeatBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes)
 
 
 def test_nodes_together_stay_within_the_budget() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     spent = 0
     for _ in range(9):
         one = budget(clock)
@@ -106,15 +106,15 @@
 
 @pytest.mark.parametrize(("nodes", "slack"), [(7, 132), (68, 300), (195, 496)])
 @pytest.mark.parametrize("age_s", [0.0, 20.0])
-def test_shares_that_do_not_divide_add_up_to_the_budget(nodes, slack, age_s) -> None:
-    """Pattern: a share of two repeats or less, on each of many nodes, no requests.
+def test_parts_that_do_not_divide_add_up_to_the_budget(nodes, slack, age_s) -> None:
+    """A part of two retries or less on each of many nodes, without requests.
 
-    At a start 0.3 of the slack may be used, later all, and 0.85 of that is.
+    At the start 0.3 of the slack is allowed, later all of it, and 0.85 of that is used.
     """
     bounds = attrs.evolve(decode_settings(BOUNDS).bounds, retry_slack=slack)
     for seed in range(20):
         rng = random.Random(seed)
-        clock = HandClock()
+        clock = ManualClock()
         spent = 0
         for _ in range(nodes):
             one = RepeatBudget(bounds, clock, lambda: nodes, rng.random())
@@ -129,8 +129,8 @@
         assert spent <= slack
 
 
-def test_the_budget_comes_back_with_its_window() -> None:
-    clock = HandClock()
+def test_the_budget_is_renewed_after_its_window() -> None:
+    clock = ManualClock()
     one = budget(clock)
     one.allowed("s")
     clock.at_s += 20.0
@@ -142,8 +142,8 @@
     assert one.spend("s")
 
 
-def test_a_restarted_node_does_not_use_its_share_again() -> None:
-    clock = HandClock()
+def test_a_restarted_node_does_not_spend_its_part_again() -> None:
+    clock = ManualClock()
     spent = 0
     for start in range(2):
         for _ in range(9):
@@ -156,8 +156,8 @@
     assert spent <= 136 * 1.15
 
 
-def test_who_has_left_still_counts_within_the_window() -> None:
-    clock = HandClock()
+def test_a_node_that_left_still_counts_within_the_window() -> None:
+    clock = ManualClock()
     nodes = [9]
     one = RepeatBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes[0])
     one.allowed("s")
@@ -170,14 +170,14 @@
 
 
 def test_services_have_budgets_of_their_own() -> None:
-    one = budget(HandClock())
+    one = budget(ManualClock())
     while one.spend("s"):
         pass
     assert one.spend("other")
 
 
 def test_failures_in_a_row_keep_a_backend_avoided_longer() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     health = BackendHealth(clock)
     for _ in range(3):
         health.failed("i")
@@ -190,8 +190,8 @@
     assert not health.is_avoided("i")
 
 
-def test_a_slow_head_is_seen_by_its_pauses_and_forgotten_after_a_while() -> None:
-    clock = HandClock()
+def test_a_slow_head_is_detected_by_its_pauses_for_a_limited_time() -> None:
+    clock = ManualClock()
     health = BackendHealth(clock)
     for _ in range(10):
         health.note_pause("slow", 0.24, 0.06)
@@ -203,7 +203,7 @@
 
 
 def test_silence_is_measured_over_all_streams_of_a_head() -> None:
-    clock = HandClock()
+    clock = ManualClock()
     progress = GroupProgress(clock)
     first, second = progress.began("h"), progress.began("h")
     progress.advanced(first, "m")
@@ -218,8 +218,8 @@
     assert progress.silent_for_s("h") == 0.0
 
 
-def test_waiting_for_the_first_event_is_no_silence() -> None:
-    clock = HandClock()
+def test_waiting_for_the_first_event_does_not_count_as_silence() -> None:
+    clock = ManualClock()
     progress = GroupProgress(clock)
     waiting, flowing = progress.began("h"), progress.began("h")
     clock.at_s += 0.5
@@ -231,9 +231,9 @@
     progress.ended(waiting)
 
 
-def test_first_events_are_waited_for_the_longer_the_later_they_usually_come() -> None:
+def test_the_wait_for_first_events_grows_with_their_usual_delay() -> None:
     engine = decode_configuration(engine_configuration()).services["llm"].engine
-    clock = HandClock()
+    clock = ManualClock()
     progress = GroupProgress(clock)
     quick_s = progress.first_patience_s(engine, "small")
     assert quick_s > silence_s(engine, "small")
@@ -246,7 +246,7 @@
     assert progress.first_patience_s(engine, "big") < 1.0
 
 
-def test_a_working_group_is_never_called_silent_within_a_pass() -> None:
+def test_a_working_group_is_never_silent_within_a_forward_pass() -> None:
     services = decode_configuration(engine_configuration()).services
     engine = services["llm"].engine
     for model in engine.models:
--- a/packages/serving/tests/test_plain_calls.py
+++ b/packages/serving/tests/test_plain_calls.py
@@ -1,4 +1,4 @@
-"""Plain calls over real connections: at most once, whole answers, true refusals."""
+"""Plain calls over real connections: at most once, complete answers, refusals."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
     writer.write(raw)
 
 
-async def says_nonsense(request, writer) -> None:
+async def sends_garbage(request, writer) -> None:
     writer.write(b"\x00\x01 what is this\r\n\r\n")
 
 
@@ -98,7 +98,7 @@
     resets_without_length,
     encodes,
     is_unsigned,
-    says_nonsense,
+    sends_garbage,
 ]
 HAS_NOT_RUN = [refuses, is_another]
 
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("script", [ends_without_length, adds_an_answer])
-async def test_odd_but_whole_answers_pass(site, script) -> None:
+async def test_unusual_but_complete_answers_pass(site, script) -> None:
     await site.add_backend(script)
     for _ in range(3):
         got = await site.ask("/once/1")
@@ -126,10 +126,10 @@
 
 
 @pytest.mark.parametrize("script", MAY_HAVE_RUN)
-async def test_what_may_have_run_is_not_sent_again(site, script) -> None:
+async def test_a_request_that_may_have_run_is_not_retried(site, script) -> None:
     first = await site.add_backend(script)
     second = await site.add_backend(script)
-    # Also where the route allows a second backend server.
+    # Not even on a route that allows a second backend server.
     got = await site.ask("/twice/1")
     assert len(first.seen) + len(second.seen) == 1
     assert got.status == 502
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("script", MAY_HAVE_RUN)
-async def test_what_may_be_repeated_goes_to_another(site, script) -> None:
+async def test_a_repeatable_request_goes_to_another_backend(site, script) -> None:
     await site.add_backend(script, zone="z1")
     good = await site.add_backend(answers, zone="z2")
     got = await site.ask("/get/1", method="GET")
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("script", HAS_NOT_RUN)
-async def test_what_has_not_run_goes_to_another(site, script) -> None:
+async def test_a_request_that_has_not_run_goes_to_another_backend(site, script) -> None:
     await site.add_backend(script, zone="z1")
     good = await site.add_backend(answers, zone="z2")
     got = await site.ask("/once/1")
@@ -155,14 +155,14 @@
 
 
 @pytest.mark.parametrize("script", HAS_NOT_RUN)
-async def test_a_refusal_is_true_and_says_when_to_come_back(site, script) -> None:
+async def test_a_refusal_has_a_short_retry_after(site, script) -> None:
     await site.add_backend(script)
     got = await site.ask("/once/1")
     assert got.status == 503
     assert float(got.headers["Retry-After"]) < 1
 
 
-async def test_nobody_listening_means_not_run(site) -> None:
+async def test_a_request_without_a_connection_has_not_run(site) -> None:
     gone = await site.add_backend(answers, zone="z1")
     await gone.close()
     good = await site.add_backend(answers, zone="z2")
@@ -188,7 +188,7 @@
 async def test_a_silent_backend_costs_a_repeatable_call_little(site) -> None:
     await site.add_backend(hangs, zone="z1")
     await site.add_backend(answers, zone="z2")
-    # Had it waited for the first, the route's timeout would have ended it.
+    # Waiting for the first one would have exceeded the route's timeout.
     got = await site.ask("/get/1", method="GET")
     assert got.status == 200
 
@@ -206,12 +206,12 @@
     backend = await site.add_backend(hangs)
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.2):
-            # Neither the route nor the deadline ends the work.
+            # Neither the route's timeout nor the deadline can end the work.
             await site.ask("/long/1", **{"X-Deadline-Ms": "600000"})
     await site.until(lambda: backend.left == ["r1"])
 
 
-async def test_a_request_waits_for_what_a_starting_node_must_know(site) -> None:
+async def test_a_request_waits_for_the_tables_of_a_starting_node(site) -> None:
     await site.add_backend(answers)
     known = site.view.configuration
     current, known.current = known.current, None
@@ -221,7 +221,7 @@
     assert (await asked).status == 200
 
 
-async def test_a_node_that_learns_nothing_refuses_at_once_and_says_when_to_come_back(
+async def test_a_node_without_tables_refuses_at_once_with_a_retry_after(
     site,
 ) -> None:
     site.view.configuration.current = None
@@ -238,7 +238,7 @@
     assert not leaving.seen
 
 
-async def test_the_callers_own_names_for_system_headers_do_not_pass(site) -> None:
+async def test_headers_of_the_system_are_not_accepted_from_callers(site) -> None:
     backend = await site.add_backend(answers)
     await site.ask(
         "/open/1",
@@ -251,34 +251,38 @@
     assert "api-key" not in headers
 
 
-def rests(rest_s: float):
-    """Return a script that turns requests away and asks for rest."""
+def asks_for_backoff(backoff_s: float):
+    """Return a script that refuses requests and asks for a back-off."""
 
     async def refuse(request, writer) -> None:
-        headers = {"X-Not-Executed": "1", "Retry-After": f"{rest_s}"}
+        headers = {"X-Not-Executed": "1", "Retry-After": f"{backoff_s}"}
         writer.write(http_answer(request, b"", status=503, headers=headers))
 
     return refuse
 
 
-async def test_a_server_that_asks_for_rest_has_it_and_others_serve(site) -> None:
-    """Incident: see ``test_rests_of_backends.py``; here with plain services."""
-    resting = await site.add_backend(rests(2.0), zone="z1")
+async def test_a_server_that_asks_for_a_backoff_gets_it_and_others_serve(site) -> None:
+    """Guards against requests to a backend server within its back-off.
+
+    A refusal counted as any other failure: the server was avoided for half a second,
+    or less if it answered in between, and the time that it asked for was ignored.
+    """
+    backing_off = await site.add_backend(asks_for_backoff(2.0), zone="z1")
     await site.add_backend(answers, zone="z2")
     ends_s = asyncio.get_running_loop().time() + 2.0
     while asyncio.get_running_loop().time() < ends_s - 0.2:
         assert (await site.ask("/get/1")).status == 200
         await asyncio.sleep(0.02)
-    assert len(resting.seen) == 1
+    assert len(backing_off.seen) == 1
 
 
-async def test_a_server_that_rests_is_no_last_resort(site) -> None:
-    first = await site.add_backend(rests(1.2))
-    second = await site.add_backend(rests(30.0))
+async def test_a_server_in_backoff_is_not_used_as_a_last_resort(site) -> None:
+    first = await site.add_backend(asks_for_backoff(1.2))
+    second = await site.add_backend(asks_for_backoff(30.0))
     got = await site.ask("/get/1")
     assert got.status == 503
     assert 0.4 <= float(got.headers["Retry-After"]) <= 1.2
-    # Nobody is asked again, and the caller is told at once.
+    # No backend server gets another request, and the refusal is immediate.
     began_s = asyncio.get_running_loop().time()
     got = await site.ask("/get/2")
     assert got.status == 503
@@ -286,16 +290,16 @@
     assert (len(first.seen), len(second.seen)) == (1, 1)
 
 
-async def test_a_short_rest_is_waited_for(site) -> None:
-    backend = await site.add_backend(rests(0.3))
+async def test_a_short_backoff_is_waited_for(site) -> None:
+    backend = await site.add_backend(asks_for_backoff(0.3))
     assert (await site.ask("/get/1")).status == 503
     backend.script = answers
     got = await site.ask("/get/2")
     assert (got.status, got.body) == (200, b"whole body")
 
 
-async def test_a_rest_of_a_year_ends(site) -> None:
-    backend = await site.add_backend(rests(365.0 * 86400.0))
+async def test_a_backoff_of_a_year_is_capped(site) -> None:
+    backend = await site.add_backend(asks_for_backoff(365.0 * 86400.0))
     got = await site.ask("/get/1")
     assert got.status == 503
     asked = site.callers.dispatch.plain.permits.pressure
@@ -303,17 +307,17 @@
     assert len(backend.seen) == 1
 
 
-async def says_it_leaves(request, writer) -> None:
+async def reports_leaving(request, writer) -> None:
     headers = {"Server-Leaving": "1"}
     writer.write(http_answer(request, b"whole body", headers=headers))
 
 
-async def test_a_server_that_says_that_it_leaves_gets_no_more(site) -> None:
-    leaving = await site.add_backend(says_it_leaves, zone="z1")
+async def test_a_server_that_reports_leaving_gets_no_more(site) -> None:
+    leaving = await site.add_backend(reports_leaving, zone="z1")
     other = await site.add_backend(answers, zone="z2")
     while not leaving.seen:
         assert (await site.ask("/get/1")).status == 200
-    # Its entry may say what it likes, and come anew.
+    # A new entry of the same start does not change that.
     address = site.view.directory.backends["i-1"].address
     entry = entry_fields("app", address, slots=7)
     await site.register("i-1", entry)
@@ -326,19 +330,19 @@
 
 
 @pytest.mark.parametrize("limit", ["99999999999999999999", "0.000001"])
-async def test_an_absurd_limit_harms_nobody(site, limit) -> None:
-    async def names_it(request, writer) -> None:
+async def test_an_absurd_limit_does_not_affect_requests(site, limit) -> None:
+    async def reports_limit(request, writer) -> None:
         headers = {"Server-Limit": limit}
         writer.write(http_answer(request, b"whole body", headers=headers))
 
-    await site.add_backend(names_it, zone="z1")
+    await site.add_backend(reports_limit, zone="z1")
     await site.add_backend(answers, zone="z2")
     for _ in range(10):
         assert (await site.ask("/get/1")).status == 200
 
 
 async def test_a_later_start_of_a_server_that_left_serves(site) -> None:
-    leaving = await site.add_backend(says_it_leaves, backend_id="i-1", born=5)
+    leaving = await site.add_backend(reports_leaving, backend_id="i-1", born=5)
     while not leaving.seen:
         assert (await site.ask("/get/1")).status == 200
     await site.add_backend(answers, backend_id="i-1", born=6)
@@ -347,13 +351,13 @@
 
 @attrs.define
 class LatePressure:
-    """Permits that hear of a rest or a departure just after they were given."""
+    """Permits that receive a report of backpressure just after they are granted."""
 
     pressure: PressureBook
-    said: Backpressure
+    reported: Backpressure
 
     async def take(self, backend) -> bool:
-        self.pressure.heard(backend, self.said)
+        self.pressure.heard(backend, self.reported)
         return True
 
     def log_hold(self, *args, **kwargs) -> None:
@@ -361,11 +365,11 @@
 
 
 @pytest.mark.parametrize(
-    "said", [Backpressure(rest_s=9.0), Backpressure(is_leaving=True)]
+    "reported", [Backpressure(rest_s=9.0), Backpressure(is_leaving=True)]
 )
-async def test_what_is_heard_while_connecting_counts(site, said) -> None:
+async def test_backpressure_reported_while_connecting_counts(site, reported) -> None:
     backend = await site.add_backend(answers)
     plain = site.callers.dispatch.plain
-    plain.permits = LatePressure(plain.permits.pressure, said)
+    plain.permits = LatePressure(plain.permits.pressure, reported)
     assert (await site.ask("/get/1")).status == 503
     assert backend.seen == []
--- a/packages/serving/tests/test_stream_calls.py
+++ b/packages/serving/tests/test_stream_calls.py
@@ -1,4 +1,4 @@
-"""Streams over real connections: whole events, in order, over several groups."""
+"""Streams over real connections: complete events, in order, across several groups."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from fordhatch.serving._group_progress import SILENCE_FLOOR_S
 from fordhatch_standins import SIGNATURE, entry_fields, http_answer
 
-NOBODY = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 """An address at which nothing listens."""
 
 ALL = b"".join(b"id: %d\ndata: t%d\n\n" % (n, n) for n in range(1, 7))
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("script", BROKEN)
-async def test_a_broken_stream_goes_on_at_another_group(site, script) -> None:
+async def test_a_broken_stream_resumes_at_another_group(site, script) -> None:
     bad = await site.add_backend(script, group="small.1", zone="z1")
     good = await site.add_backend(streams, group="small.2", zone="z2")
     got = await site.ask("/stream/1")
@@ -111,7 +111,7 @@
     assert resumed["x-attempt-id"] == bad.seen[0].headers["x-attempt-id"]
 
 
-async def test_the_last_run_that_is_allowed_is_not_left_because_it_is_slow(
+async def test_the_last_allowed_run_is_not_abandoned_because_it_is_slow(
     site,
 ) -> None:
     runs = []
@@ -131,7 +131,7 @@
     assert len(runs) == 2
 
 
-async def test_a_stream_of_the_callers_goes_on_where_it_was(site) -> None:
+async def test_a_stream_resumes_after_the_callers_last_event_id(site) -> None:
     await site.add_backend(streams, group="small.1")
     got = await site.ask("/stream/1", **{"Last-Event-Id": "4"})
     assert got.body == events(5, 6)
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("script", [breaks_within_an_event, fails])
-async def test_what_may_not_be_resumed_runs_once(site, script) -> None:
+async def test_a_stream_that_may_not_be_resumed_runs_once(site, script) -> None:
     first = await site.add_backend(script, group="small.1")
     second = await site.add_backend(script, group="small.2")
     if script is fails:
@@ -158,14 +158,14 @@
     assert len(first.seen) + len(second.seen) == 1
 
 
-async def test_a_group_that_refuses_is_passed_over(site) -> None:
+async def test_a_group_that_refuses_is_skipped(site) -> None:
     await site.add_backend(refuses, group="small.1", zone="z1")
     await site.add_backend(streams, group="small.2", zone="z2")
     got = await site.ask("/single/1")
     assert got.body == ALL
 
 
-async def test_groups_of_other_models_are_not_asked(site) -> None:
+async def test_groups_of_other_models_get_no_requests(site) -> None:
     other = await site.add_backend(streams, group="big.1")
     got = await site.ask("/stream/1")
     assert got.status == 503
@@ -173,12 +173,12 @@
     assert not other.seen
 
 
-async def test_a_request_waits_a_moment_for_a_group_that_opens(site) -> None:
+async def test_a_request_waits_for_a_group_that_opens(site) -> None:
     asked = asyncio.ensure_future(site.ask("/stream/1"))
     await asyncio.sleep(0.02)
     await site.add_backend(streams, group="small.1")
     got = await asked
-    # Whoever came just before the group opened is served, or told to come back.
+    # A request just before the group opens is served or refused with a retry time.
     assert got.status in (200, 503)
 
 
@@ -200,7 +200,7 @@
     await site.until(lambda: backend.left == ["r1"])
 
 
-async def test_a_stream_that_is_too_long_is_broken_off_at_its_timeout(site) -> None:
+async def test_a_stream_that_is_too_long_is_aborted_at_its_timeout(site) -> None:
     await site.add_backend(falls_silent, group="small.1")
     loop = asyncio.get_running_loop()
     began_s = loop.time()
@@ -214,9 +214,9 @@
     await site.register(f"m-{rank}", entry_fields("llm", address, group=place))
 
 
-async def test_others_are_told_of_a_silent_group_that_lost_a_member(site) -> None:
+async def test_a_silent_group_that_lost_a_member_is_reported(site) -> None:
     await site.add_backend(falls_silent, group="small.1", zone="z1")
-    await add_member(site, "small.1", 1, NOBODY)
+    await add_member(site, "small.1", 1, UNUSED_ADDRESS)
     await site.add_backend(streams, group="small.2", zone="z2")
     got = await site.ask("/stream/1")
     assert got.body == ALL
@@ -224,11 +224,9 @@
 
 
 @pytest.mark.parametrize("script", [falls_silent, breaks_within_an_event])
-async def test_others_are_not_told_of_a_group_whose_members_all_answer(
-    site, script
-) -> None:
+async def test_a_group_whose_members_all_answer_is_not_reported(site, script) -> None:
     async def fails_once(request, writer) -> None:
-        # Half a second later others no longer go before this group.
+        # The group is avoided for half a second, then chosen again.
         await (script if len(first.seen) == 1 else streams)(request, writer)
 
     first = await site.add_backend(fails_once, group="small.1", zone="z1")
@@ -236,9 +234,9 @@
     await site.add_backend(streams, group="small.2", zone="z2")
     assert (await site.ask("/stream/1")).body == ALL
     await site.until(lambda: first.reports and site.listener.reports)
-    # The group that lost a member is told of later than this one would have been.
+    # The group that lost a member is reported later than this one would have been.
     await site.add_backend(falls_silent, group="small.3", zone="z1")
-    await add_member(site, "small.3", 2, NOBODY)
+    await add_member(site, "small.3", 2, UNUSED_ADDRESS)
     lost = site.scripted[-1]
     while not lost.seen:
         assert (await site.ask("/stream/2")).body == ALL
@@ -246,21 +244,21 @@
     assert ("small.1", 1) not in site.view.shared.suspicions
 
 
-async def test_a_lost_group_is_left_alone_while_the_store_is_away(site) -> None:
-    """Pattern: a member is lost in an outage, in which nobody can be told of it.
+async def test_a_lost_group_is_avoided_while_the_store_is_unavailable(site) -> None:
+    """A member is lost during an outage of the store, which prevents its report.
 
-    Each try at such a group costs a stream its goal. The group is asked about again
-    every 1.2 s, and serves as soon as its member answers.
+    Each attempt at such a group makes a stream miss its latency objective. The members
+    are polled every 1.2 s, and the group serves again once the lost one answers.
     """
     head = await site.add_backend(falls_silent, group="small.1", zone="z1")
-    await add_member(site, "small.1", 1, NOBODY)
+    await add_member(site, "small.1", 1, UNUSED_ADDRESS)
     await site.add_backend(streams, group="small.2", zone="z2")
     site.model.faults.is_down = True
     assert (await site.ask("/stream/1")).body == ALL
     key = ("small.1", 1)
     stalls = site.callers.dispatch.streams.runs.stalls
     await site.until(lambda: key in stalls._found_lost)
-    # As long as the own word of a silence holds, and longer.
+    # Even after this node's own record of the silence has expired.
     stalls._avoided.clear()
     for number in range(6):
         assert (await site.ask(f"/stream/{number + 2}")).body == ALL
@@ -273,11 +271,11 @@
     assert key not in stalls._found_lost
 
 
-async def test_others_are_told_of_a_slow_member(site) -> None:
-    """Pattern: one member works 12 times slower; its group's first events take 1.3 s.
+async def test_a_slow_member_is_reported(site) -> None:
+    """One member works 12 times slower; its group's first events take 1.3 s.
 
-    One silence tells all nodes and the planner, which takes the group apart; it also
-    finds out when the member is well again.
+    One silence is reported to all nodes and to the planner, which dissolves the group
+    and also detects when the member has recovered.
     """
     await site.add_backend(falls_silent, group="small.1", zone="z1")
     await add_member(site, "small.1", 1, await site.start_listener())
@@ -291,7 +289,7 @@
     await site.until(lambda: not site.view.shared.slow)
 
 
-async def test_a_group_that_was_silent_here_serves_where_there_is_no_other(
+async def test_a_group_that_failed_before_serves_if_it_is_the_only_one(
     site,
 ) -> None:
     await site.add_backend(breaks_within_an_event, group="small.1")
@@ -304,7 +302,7 @@
 async def test_a_first_event_that_comes_late_is_waited_for(
     site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Far above what a busy machine may add.
+    # Far above the delay that a busy machine may add.
     monkeypatch.setattr("fordhatch.serving._group_progress.FIRST_SILENCES", 50.0)
     monkeypatch.setattr("fordhatch.serving._group_progress.FIRST_MOST_S", 20.0)
 
--- a/packages/serving/tests/test_suspended_node.py
+++ b/packages/serving/tests/test_suspended_node.py
@@ -1,4 +1,4 @@
-"""A node whose machine was suspended knows that time has passed."""
+"""A node accounts for the time during which its instance was suspended."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.define
 class Machine:
-    """Suspends the machine of a node: only its clock since the start goes on."""
+    """Simulates a suspended instance: only its boot-time clock advances."""
 
     suspended_s: float = 0.0
 
@@ -51,26 +51,26 @@
 async def test_a_key_that_was_removed_while_connecting_is_not_used(
     suspendable,
 ) -> None:
-    """The machine stands still between the decision to send and the first byte."""
+    """The instance is suspended between the decision to send and the first byte."""
     site, machine = suspendable
     backend = await site.add_backend(answers)
     site.model.faults.is_silent = True
     connector = site.exchange._session.connector
     connect = type(connector).connect
 
-    async def connect_and_stand_still(self, *args, **kwargs):
+    async def suspend_and_connect(self, *args, **kwargs):
         if self is connector:
             machine.suspended_s += 6.0
         return await connect(self, *args, **kwargs)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(type(connector), "connect", connect_and_stand_still)
+        patch.setattr(type(connector), "connect", suspend_and_connect)
         got = await site.ask("/long/1", **{"X-Deadline-Ms": "60000"})
     assert got.status == 503
     assert backend.seen == []
 
 
-async def test_a_call_whose_time_is_over_is_ended_at_once(suspendable) -> None:
+async def test_a_call_past_its_deadline_ends_at_once(suspendable) -> None:
     site, machine = suspendable
 
     async def never(request, writer) -> None:
