--- a/packages/serving/src/fordhatch/serving/_knowledge.py
+++ b/packages/serving/src/fordhatch/serving/_knowledge.py
@@ -19,8 +19,8 @@
 second late."""
 
 AGEING_FRACTION = 0.5
-"""Fraction of that limit after which the node requests no new callers; the balancer
-needs about two seconds to notice."""
+"""Fraction of that limit after which the node reports that it is not ready for new
+callers; the balancer needs about two seconds to notice."""
 
 MAX_CERTAIN_AGE_S = 1.5
 """Oldest confirmation with which a node reports a route or key as unknown: later, a
@@ -36,7 +36,8 @@
     GOOD = "good"
     """Serve, but don't report a route or key as unknown."""
     AGEING = "ageing"
-    """Serve, but request no new callers: other nodes may have a newer configuration."""
+    """Serve, but report not ready for new callers: other nodes may have a newer
+    configuration."""
     STALE = "stale"
     """Refuse requests: other nodes may serve them."""
 
--- a/packages/serving/tests/test_plain_calls.py
+++ b/packages/serving/tests/test_plain_calls.py
@@ -302,8 +302,8 @@
     backend = await site.add_backend(asks_for_backoff(365.0 * 86400.0))
     got = await site.ask("/get/1")
     assert got.status == 503
-    asked = site.callers.dispatch.plain.permits.pressure
-    assert 0.0 < asked.free_at_s("i-1") - site.callers.timer.now_s() <= 60.0
+    pressure = site.callers.dispatch.plain.permits.pressure
+    assert 0.0 < pressure.free_at_s("i-1") - site.callers.timer.now_s() <= 60.0
     assert len(backend.seen) == 1
 
 
