--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -38,22 +38,22 @@
     Guard(
         "rest: who rests is no last resort",
         "serving/_plain_call.py",
-        " if b.backend_id not in held]",
+        " if b.backend_id not in blocked]",
         "]",
-        f"{SERVING}/test_plain_calls.py -k short_rest",
+        f"{SERVING}/test_plain_calls.py -k short_backoff",
     ),
     Guard(
         "rest: it ends within a bound",
         "serving/_pressure_book.py",
         "min(rest_s, MAX_BLOCK_S - BACKOFF_SPREAD_S)",
         "rest_s",
-        f"{SERVING}/test_plain_calls.py -k rest_of_a_year",
+        f"{SERVING}/test_plain_calls.py -k backoff_of_a_year",
     ),
     Guard(
         "rest and departure: looked at again as the connection stands",
         "serving/_admission.py",
-        "        asked = self.pressure.why_not(backend_id)\n",
-        "        asked = None\n",
+        "        pressure = self.pressure.why_not(backend_id)\n",
+        "        pressure = None\n",
         f"{SERVING}/test_plain_calls.py -k while_connecting",
     ),
     Guard(
--- a/packages/serving/src/fordhatch/serving/_stream_run.py
+++ b/packages/serving/src/fordhatch/serving/_stream_run.py
@@ -1,4 +1,4 @@
-"""One run of a stream at one group, passed on event by event."""
+"""Runs of a stream at one group, forwarded event by event."""
 
 from __future__ import annotations
 
@@ -30,18 +30,19 @@
 from ._stall_watch import SLOW_AGAIN_S, SLOW_PACE, StallWatch
 
 RESUMED_URGENCY = 0
-"""Streams that go on elsewhere are admitted first: their callers wait already."""
+"""Resumed streams are first in the backend server's queue: their callers wait
+already."""
 
-PATIENCE = 4.0
-"""A single stream that is silent this many times longer than its group may be, while
-other streams of the group go on, is given up."""
+STREAM_SILENCE_FACTOR = 4.0
+"""Multiple of the group's silence limit after which one silent stream is given up while
+other streams of the group advance."""
 
 _OK = 200
 _SERVER_ERROR = 500
 
 
-class _Broken(Exception):  # noqa: N818
-    """A run ended before its stream was complete."""
+class _RunFailed(Exception):  # noqa: N818
+    """A run failed before its stream was complete."""
 
     def __init__(self, problem: SendProblem, detail: str) -> None:
         super().__init__(detail)
@@ -50,27 +51,27 @@
 
 @attrs.define(eq=False, repr=False)
 class Stream:
-    """One caller's stream over all of its runs."""
+    """One caller's stream across all of its runs."""
 
     request: ServedRequest
     reply: Reply
     order: EventOrder
     profile: EngineProfile
     tried: list[str] = attrs.field(factory=list)
-    """Heads that were sent the request, in order."""
+    """Heads that the request was sent to, in order."""
     last_problem: SendFailure | None = None
     events: int = 0
-    """Events passed on so far."""
+    """Number of events forwarded so far."""
 
     @property
     def model(self) -> str:
-        """The model that the caller asks for."""
+        """The requested model."""
         return self.request.fields.model
 
 
 @attrs.define(eq=False, repr=False)
 class StreamRuns:
-    """Sends a stream's request to a group and passes its events on."""
+    """Sends a stream's request to a group and forwards its events."""
 
     timer: Timer
     directory: BackendDirectory
@@ -84,14 +85,14 @@
     _running: dict[int, tuple[Stream, RunProgress]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Stop runs when their content is held back."""
-        self.crashes.quarantine.subscribe(self._stop)
+        """Subscribe to contents that are quarantined."""
+        self.crashes.quarantine.subscribe(self._cancel_runs)
 
-    def _stop(self, digests: frozenset[str]) -> None:
-        """Break off runs of contents that end backend servers, also in their queues.
+    def _cancel_runs(self, digests: frozenset[str]) -> None:
+        """Cancel runs of contents that crash backend servers, including queued ones.
 
-        Callers who ask all at once would end every group otherwise. A run
-        that has passed on events goes on: it does no harm.
+        Otherwise many callers with such a content at the same time could crash every
+        group. A run that has forwarded events continues: it does no harm.
         """
         for stream, progress in list(self._running.values()):
             if progress.is_flowing or progress.step is None:
@@ -102,20 +103,24 @@
     async def run(
         self, stream: Stream, head: BackendServer
     ) -> Result[None, SendFailure]:
-        """Run a stream at a group; an error means that it is not complete."""
+        """Run a stream at a group.
+
+        Returns:
+            Success once the stream is complete, otherwise the failure of this run.
+        """
         head_id = head.backend_id
         began_s = self.timer.now_s()
         events = stream.events
-        stream.request.timeline.sent(began_s, self.health.in_flight[head_id])
+        stream.request.timeline.record_send(began_s, self.health.in_flight[head_id])
         self.health.in_flight[head_id] += 1
         progress = self.progress.began(head_id)
         self._running[id(progress)] = stream, progress
         try:
-            await self._pass_on(stream, head, progress)
+            await self._forward(stream, head, progress)
             self.health.succeeded(head_id, self.timer.now_s() - began_s)
             return Ok(None)
-        except _Broken as broken:
-            self._note(stream, head, broken.failure, began_s, events)
+        except _RunFailed as broken:
+            self._record_failure(stream, head, broken.failure, began_s, events)
             if broken.failure.problem is SendProblem.CONNECTION_LOST:
                 stage = _stage(progress, stream.events - events)
                 self.crashes.broke(stream.request, head, stage)
@@ -125,7 +130,7 @@
             self.progress.ended(progress)
             self.health.in_flight[head_id] -= 1
 
-    def _note(
+    def _record_failure(
         self,
         stream: Stream,
         head: BackendServer,
@@ -145,11 +150,13 @@
         )
         if failure.problem is SendProblem.HELD_BACK:
             return
-        self._doubt(stream, head, failure.problem)
+        self._check_group(stream, head, failure.problem)
         self.health.failed(head.backend_id)
 
-    def _doubt(self, stream: Stream, head: BackendServer, problem: SendProblem) -> None:
-        """Look into a group whose run has failed, unless only time has run out."""
+    def _check_group(
+        self, stream: Stream, head: BackendServer, problem: SendProblem
+    ) -> None:
+        """Check the group of a failed run, unless it refused or the deadline passed."""
         if problem is SendProblem.REFUSED:
             return
         if problem is not SendProblem.SILENT:
@@ -157,23 +164,27 @@
         elif stream.request.left_s(self.timer.now_s()) > 0:
             self.stalls.silent(head)
 
-    async def _pass_on(
+    async def _forward(
         self, stream: Stream, head: BackendServer, progress: RunProgress
     ) -> None:
         answer = await self._open(stream, head, progress)
         progress.has_answer = True
         try:
             if answer.status != _OK:
-                await self._pass_on_whole(stream, answer)
+                await self._forward_complete(stream, answer)
                 return
-            await self._pass_on_events(stream, head, answer, progress)
+            await self._forward_events(stream, head, answer, progress)
         finally:
             answer.close()
 
     async def _open(
         self, stream: Stream, head: BackendServer, progress: RunProgress
     ) -> BackendAnswer:
-        """Send the request and wait for the answer's head as long as it makes sense."""
+        """Send the request and wait for the answer's head.
+
+        Raises:
+            _RunFailed: If no usable head came, or the run was abandoned or cancelled.
+        """
         request = stream.request
         resumed = stream.order.last is not None
         send = asyncio.ensure_future(
@@ -186,8 +197,8 @@
             )
         )
         try:
-            await self._until_done(stream, head, progress, send)
-        except _Broken:
+            await self._wait_for_step(stream, head, progress, send)
+        except _RunFailed:
             request.arrived_at(head.backend_id, may_have_run=True)
             raise
         finally:
@@ -197,19 +208,23 @@
         if sent.is_err():
             failure = sent.unwrap_err()
             self.pressure.heard(head, failure.backpressure)
-            raise _Broken(failure.problem, failure.detail)
+            raise _RunFailed(failure.problem, failure.detail)
         answer = sent.unwrap()
         self.pressure.heard(head, answer.fields.backpressure)
         return answer
 
-    async def _until_done(
+    async def _wait_for_step(
         self,
         stream: Stream,
         head: BackendServer,
         progress: RunProgress,
         step: asyncio.Future[object],
     ) -> None:
-        """Wait for the next step of a run; give up when the group stands still."""
+        """Wait for the next step of a run; give up when the group is silent.
+
+        Raises:
+            _RunFailed: If the run was cancelled or abandoned, or the deadline passed.
+        """
         limit_s = silence_s(stream.profile, stream.model)
         waiting_since_s = self.timer.now_s()
         progress.step = step
@@ -217,39 +232,45 @@
             left_s = stream.request.left_s(self.timer.now_s())
             await asyncio.wait([step], timeout=max(min(limit_s, left_s), 0.0))
             if step.cancelled():
-                raise _Broken(SendProblem.HELD_BACK, "its content ends backend servers")
+                raise _RunFailed(
+                    SendProblem.HELD_BACK, "its content ends backend servers"
+                )
             if step.done():
                 return
             now_s = self.timer.now_s()
             if stream.request.left_s(now_s) <= 0:
-                raise _Broken(SendProblem.SILENT, "out of time")
+                raise _RunFailed(SendProblem.SILENT, "out of time")
             silent_s = self._silent_s(stream, progress, limit_s)
             waited_s = now_s - waiting_since_s
             if silent_s > 0:
                 self.stalls.silent(head)
-                self._leave_if_possible(stream, head, f"silent for {silent_s:.3f}")
-            elif waited_s >= PATIENCE * limit_s:
-                self._leave_if_possible(stream, head, f"waited for {waited_s:.3f}")
+                self._abandon_if_possible(stream, head, f"silent for {silent_s:.3f}")
+            elif waited_s >= STREAM_SILENCE_FACTOR * limit_s:
+                self._abandon_if_possible(stream, head, f"waited for {waited_s:.3f}")
 
     def _silent_s(self, stream: Stream, progress: RunProgress, limit_s: float) -> float:
-        """Return how long a group has been silent; 0 while that means nothing."""
+        """Return how long a group has been silent, in seconds; 0 below its limit."""
         silent_s = self.progress.silent_for_s(progress.head_id)
         if silent_s >= limit_s:
             return silent_s
         if silent_s > 0:
-            # Other streams go on there.
+            # Other streams of the group advanced within the limit.
             return 0.0
         waited_s = self.timer.now_s() - progress.began_s
-        patience_s = self.progress.first_patience_s(stream.profile, stream.model)
-        return waited_s if waited_s >= patience_s else 0.0
+        timeout_s = self.progress.first_patience_s(stream.profile, stream.model)
+        return waited_s if waited_s >= timeout_s else 0.0
 
-    def _leave_if_possible(
+    def _abandon_if_possible(
         self, stream: Stream, head: BackendServer, detail: str
     ) -> None:
-        """Break off a silent run, but only if another group may take over.
+        """Abandon a silent run if another group may take over.
+
+        The abandoned run counts towards the route's attempts, even before its first
+        event. The last attempt is therefore never abandoned: it may be slow and still
+        complete.
 
-        The run that is left counts for the route's attempts, also before its first
-        event: the last one that is allowed may be slow, and still be whole.
+        Raises:
+            _RunFailed: If the run is abandoned.
         """
         request = stream.request
         if not request.route.is_repeatable:
@@ -257,23 +278,28 @@
         other = self.choice.choose(request.service, stream.model, stream.tried)
         ran = request.counted_runs(self.directory.backends, head.backend_id)
         if other is not None and ran < request.route.attempts:
-            raise _Broken(SendProblem.SILENT, detail)
+            raise _RunFailed(SendProblem.SILENT, detail)
 
-    async def _pass_on_whole(self, stream: Stream, answer: BackendAnswer) -> None:
-        """Pass on an answer that is no stream: a failure of the backend server."""
+    async def _forward_complete(self, stream: Stream, answer: BackendAnswer) -> None:
+        """Forward an answer that is no stream: a failure of the backend server.
+
+        Raises:
+            _RunFailed: If the answer is incomplete, or the request may be retried, or
+                the stream has begun already.
+        """
         try:
             async with self.timer.timeout(stream.request.left_s(self.timer.now_s())):
                 body = await answer.read_all()
         except TimeoutError as error:
-            raise _Broken(SendProblem.SILENT, repr(error)) from error
+            raise _RunFailed(SendProblem.SILENT, repr(error)) from error
         except (aiohttp.ClientError, OSError) as error:
-            raise _Broken(connection_problem(error), repr(error)) from error
+            raise _RunFailed(connection_problem(error), repr(error)) from error
         can_repeat = stream.request.may_run(self.directory.backends, self.timer.now_s())
         if stream.reply.has_begun or (answer.status >= _SERVER_ERROR and can_repeat):
-            raise _Broken(SendProblem.BROKEN, f"status {answer.status}")
+            raise _RunFailed(SendProblem.BROKEN, f"status {answer.status}")
         await stream.reply.whole(answer.status, answer_headers(answer.headers), body)
 
-    async def _pass_on_events(
+    async def _forward_events(
         self,
         stream: Stream,
         head: BackendServer,
@@ -287,15 +313,15 @@
             if not piece:
                 break
             self.progress.advanced(progress, stream.model)
-            last_s = self._note_pause(stream, head, last_s)
-            await self._pass_on_piece(stream, answer, splitter, piece)
-        if splitter.has_rest:
-            raise _Broken(SendProblem.BROKEN, "ended within an event")
+            last_s = self._record_pause(stream, head, last_s)
+            await self._forward_piece(stream, answer, splitter, piece)
+        if splitter.has_partial_event:
+            raise _RunFailed(SendProblem.BROKEN, "ended within an event")
         if not stream.reply.has_begun:
             await stream.reply.begin(answer.status, answer_headers(answer.headers))
         await stream.reply.end()
 
-    def _note_pause(
+    def _record_pause(
         self, stream: Stream, head: BackendServer, last_s: float | None
     ) -> float:
         now_s = self.timer.now_s()
@@ -311,7 +337,7 @@
                 self.stalls.check(head, SLOW_AGAIN_S)
         return now_s
 
-    async def _pass_on_piece(
+    async def _forward_piece(
         self,
         stream: Stream,
         answer: BackendAnswer,
@@ -326,19 +352,19 @@
                     fresh.append(event.raw)
         except StreamError as error:
             problem = error
-        # What was accepted counts as passed on, also where the next event is wrong.
+        # Accepted events count as forwarded, even if the next event is malformed.
         if fresh:
             await self._write(stream, answer, b"".join(fresh))
             stream.events += len(fresh)
         if problem is not None:
-            raise _Broken(SendProblem.BROKEN, str(problem)) from problem
+            raise _RunFailed(SendProblem.BROKEN, str(problem)) from problem
 
     async def _write(
         self, stream: Stream, answer: BackendAnswer, events: bytes
     ) -> None:
         if not stream.reply.has_begun:
             await stream.reply.begin(answer.status, answer_headers(answer.headers))
-        stream.request.timeline.passed_on(self.timer.now_s())
+        stream.request.timeline.record_output(self.timer.now_s())
         await stream.reply.write(events)
 
     async def _next_piece(
@@ -350,16 +376,16 @@
     ) -> bytes:
         read = asyncio.ensure_future(answer.read_piece())
         try:
-            await self._until_done(stream, head, progress, read)
+            await self._wait_for_step(stream, head, progress, read)
             return read.result()
         except (aiohttp.ClientError, OSError) as error:
-            raise _Broken(connection_problem(error), repr(error)) from error
+            raise _RunFailed(connection_problem(error), repr(error)) from error
         finally:
             read.cancel()
 
 
 def _stage(progress: RunProgress, events: int) -> RunStage:
-    """Return how far a run had come that has passed on so many events."""
+    """Return the stage that a run reached, given the number of events it forwarded."""
     if events > 0:
         return RunStage.FLOWING
     return RunStage.BEGUN if progress.has_answer else RunStage.WAITING
