--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -236,15 +236,15 @@
     ),
     Guard(
         "fencing: who is refused for an older token stops planning",
-        "placement/_order_desk.py",
-        "            self.superseded()\n",
+        "placement/_order_sender.py",
+        "            self.on_superseded()\n",
         "            pass\n",
         f"{PLACEMENT} -k higher_token_and_stop",
     ),
     Guard(
         "fencing: a later term has a higher token",
         "placement/_planner_lease.py",
-        "            self.fencing_token = _term(result.version)\n",
+        "            self.fencing_token = _ordinal(result.version)\n",
         "            self.fencing_token = 1\n",
         f"{PLACEMENT} -k one_token",
     ),
--- a/bench/store_guards.py
+++ b/bench/store_guards.py
@@ -42,7 +42,7 @@
     Guard(
         "return of an older store: terms of the planner rise",
         "placement/_planner_lease.py",
-        "    return version.generation * TERMS_PER_GENERATION + version.number\n",
+        "    return version.generation * VERSIONS_PER_GENERATION + version.number\n",
         "    return version.number\n",
         f"{LEASES} -k rise_over",
     ),
@@ -63,7 +63,7 @@
     Guard(
         "return of an older store: the planner goes on under its own copied lease",
         "placement/_planner_lease.py",
-        "or self._may_go_on(found):",
+        "or self._may_resume(found):",
         "or False:",
         f"{LEASES} -k short_return",
     ),
--- a/packages/placement/src/fordhatch/placement/__init__.py
+++ b/packages/placement/src/fordhatch/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Forms replica groups, opens them, and replaces what is lost."""
+"""Forms replica groups, opens them, and replaces lost ones."""
 
 from __future__ import annotations
 
--- a/packages/placement/src/fordhatch/placement/_conversion.py
+++ b/packages/placement/src/fordhatch/placement/_conversion.py
@@ -12,24 +12,24 @@
 
 from ._layout import Layout, by_domain, choose_group
 
-ADVANTAGE = 1.3
-"""The new group must be worth this many times what is given up: closing and forming
-take seconds in which neither serves, and the need changes with the next loss."""
+MIN_GAIN_RATIO = 1.3
+"""Minimum ratio of the new group's value to the value given up. Closing and forming
+take seconds in which neither group serves, and the need changes with the next loss."""
 
-MOST_DONORS = 2
-"""Groups that may be given up for one."""
+MAX_DONORS = 2
+"""Maximum number of groups that may be given up for one new group."""
 
 
 @attrs.frozen
 class Conversion:
-    """Groups to give up, and the model that gains."""
+    """Groups to give up, and the model that gains a group."""
 
     model: ModelProfile
     donors: tuple[ReplicaGroup, ...]
 
     @property
     def domain(self) -> str:
-        """The fabric domain in which it happens."""
+        """Fabric domain of the groups."""
         return self.donors[0].head.domain
 
 
@@ -41,7 +41,7 @@
     """Return the most useful conversion, or None.
 
     Args:
-        layout: The groups that there are.
+        layout: The existing groups.
         free: Backend servers that are in no group.
         serving: Groups that serve and may be given up.
     """
@@ -71,37 +71,37 @@
     free: Sequence[BackendServer],
     groups: Sequence[ReplicaGroup],
 ) -> tuple[float, Conversion] | None:
-    quick = [b for b in free if not layout.must_load(b, model)]
+    prepared_free = [b for b in free if not layout.must_load(b, model)]
     donors = [
-        g for g in groups if g.model != model.name and _may_give(layout, g, model)
+        g for g in groups if g.model != model.name and _may_give_way(layout, g, model)
     ]
     if not donors:
         return None
     plan = choose_group(layout, free)
-    instead = layout.value(plan) if plan is not None else 0.0
+    alternative_value = layout.value(plan) if plan is not None else 0.0
     best: tuple[float, Conversion] | None = None
-    for count in range(1, MOST_DONORS + 1):
+    for count in range(1, MAX_DONORS + 1):
         for chosen in combinations(donors, count):
             members = [m for g in chosen for m in g.members.values()]
-            ready = [m for m in members if not layout.must_load(m, model)]
-            if len(quick) + len(ready) < model.size:
+            prepared_members = [m for m in members if not layout.must_load(m, model)]
+            if len(prepared_free) + len(prepared_members) < model.size:
                 continue
-            # What the free ones could do without them is given up as well.
-            loss = _loss(layout, chosen) + instead
+            # Also count the group that the free backend servers could form instead.
+            loss = _loss(layout, chosen) + alternative_value
             gain = layout.need(model)
-            if gain < ADVANTAGE * loss:
+            if gain < MIN_GAIN_RATIO * loss:
                 continue
             if best is None or gain - loss > best[0]:
                 best = gain - loss, Conversion(model, chosen)
     return best
 
 
-def _may_give(layout: Layout, group: ReplicaGroup, model: ModelProfile) -> bool:
-    """Return whether a group may give way to a model.
+def _may_give_way(layout: Layout, group: ReplicaGroup, model: ModelProfile) -> bool:
+    """Return whether a group may be given up for a model.
 
-    One whose own model is no longer declared is worth nothing by itself: it only
-    gives way to a model that lacks groups, or it would go to whatever is staged. The
-    last group of a declared model stays, however little is asked of it.
+    A group whose model is no longer declared has no value of its own. It is given up
+    only for a model that lacks groups; otherwise it would go to any staged model. The
+    last group of a declared model is always kept, even at very low demand.
     """
     if layout.profile.model(group.model) is None:
         return layout.lacks(model)
@@ -109,7 +109,7 @@
 
 
 def _loss(layout: Layout, groups: Sequence[ReplicaGroup]) -> float:
-    """Return what the groups are worth that would be given up."""
+    """Return the total value of the groups that would be given up."""
     loss = 0.0
     given_up: dict[str, int] = {}
     for group in groups:
--- a/packages/placement/src/fordhatch/placement/_dissolutions.py
+++ b/packages/placement/src/fordhatch/placement/_dissolutions.py
@@ -1,4 +1,4 @@
-"""Takes groups apart so that their members may join others."""
+"""Dissolves groups so that their members may join other groups."""
 
 from __future__ import annotations
 
@@ -13,59 +13,60 @@
 from fordhatch.registry import BackendDirectory, ReplicaGroup
 
 from ._loss_check import LossCheck
-from ._order_desk import OnReply, OrderDesk
+from ._order_sender import OnReply, OrderSender
 
 STALL_MARGIN_S = 1.0
-"""Added to the time after which a head without its members is broken."""
+"""Safety margin on the time after which a head without its members is broken."""
 
-CLOSE_LIMIT_S = 6.0
-"""How long a head that is closed may take to finish its requests."""
+CLOSE_TIMEOUT_S = 6.0
+"""Time within which a closed head may finish its requests."""
 
 _OTHER_BACKEND = 421
+"""Reply status if another backend server answers at the address."""
 
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class Dissolution:
-    """One group that is being taken apart."""
+    """A group that is being dissolved."""
 
     members: dict[int, BackendServer]
     reason: str
     began_s: float
     finishes_work: bool
     head_has_left: bool = False
-    short_since_s: float | None = None
-    """Since when the group lacks a member for certain. A head that nobody reaches is
-    broken some time after that."""
+    incomplete_since_s: float | None = None
+    """Time since which the group is known to lack a member. A head that cannot be
+    reached is broken some time after that."""
 
 
 @attrs.define(eq=False, repr=False)
 class Dissolutions:
-    """Groups that are being taken apart.
+    """Dissolves groups and releases their members.
 
     Members may join another group only when the head no longer serves: it has left
-    the group, or has ended, or is broken for certain because a member is known to have
-    left it long enough ago.
+    the group, has terminated, or must be broken because a member is known to have left
+    long enough ago.
     """
 
-    desk: OrderDesk
+    order_sender: OrderSender
     losses: LossCheck
     directory: BackendDirectory
     timer: Timer
     stall_s: float
     active: dict[Key, Dissolution] = attrs.field(factory=dict)
     released: set[Key] = attrs.field(factory=set)
-    """Groups whose members may join others."""
+    """Groups whose members may join other groups."""
 
     def begin(
         self, group: ReplicaGroup, reason: str, *, finishes_work: bool = False
     ) -> None:
-        """Begin to take a group apart, unless that is under way.
+        """Begin to dissolve a group, unless its dissolution has already begun.
 
         Args:
             group: The group.
-            reason: For the log.
+            reason: Reason that is written to the log.
             finishes_work: Whether the head first finishes its requests.
         """
         known = self.active.get(group.key)
@@ -86,7 +87,7 @@
         )
 
     def step(self) -> None:
-        """Send the orders that are due and release what may be released."""
+        """Send the orders that are due and release groups whose members may move."""
         for key, dissolution in list(self.active.items()):
             if self._may_release(key, dissolution):
                 del self.active[key]
@@ -99,30 +100,31 @@
                     took_s=round(took_s, 3),
                 )
             else:
-                self._order(key, dissolution)
+                self._send_orders(key, dissolution)
 
     def _may_release(self, key: Key, dissolution: Dissolution) -> bool:
         if dissolution.head_has_left:
             return True
         head = dissolution.members.get(0)
-        if head is not None and self._has_ended(head):
+        if head is not None and self._is_terminated(head):
             return True
-        if self._is_forgotten(dissolution):
+        if self._has_no_listed_member(dissolution):
             return True
-        if head is None or self._is_out_of_reach(head):
-            return self._must_be_broken(dissolution)
+        if head is None or self._is_unreachable(head):
+            return self._is_certainly_broken(dissolution)
         if not self.directory.is_listed(head):
-            # Only a record names its place, and may be an old one.
+            # The membership is known only from a record, which may be outdated.
             return False
         listed = self.directory.backends[head.backend_id]
         return listed.membership is None or listed.membership.key != key
 
-    def _has_ended(self, head: BackendServer) -> bool:
+    def _is_terminated(self, head: BackendServer) -> bool:
         """Return whether a later start of a backend server has the head's address.
 
-        A refused connection proves nothing: a partition may refuse them as well. Nor
-        does another entry with its address where starts are not told: an earlier one
-        may be listed again. Who answers there shows it.
+        A refused connection proves nothing, because a partition may cause it as well.
+        Another entry with the same address proves nothing either if it has no start
+        time, because the entry of an earlier start may be listed again. In that case a
+        probe of the address shows which backend server answers there.
         """
         if head.backend_id in self.losses.replaced:
             return True
@@ -135,114 +137,121 @@
             self.losses.ask(head)
         return any(head.born_ms and b.born_ms > head.born_ms for b in others)
 
-    def _is_forgotten(self, dissolution: Dissolution) -> bool:
-        """Return whether no member is registered any more: nobody can move."""
+    def _has_no_listed_member(self, dissolution: Dissolution) -> bool:
+        """Return whether no member is registered any more, so that none can move."""
         return not any(
             m.backend_id in self.directory.backends
             for m in dissolution.members.values()
         )
 
-    def _must_be_broken(self, dissolution: Dissolution) -> bool:
-        if dissolution.short_since_s is None:
+    def _is_certainly_broken(self, dissolution: Dissolution) -> bool:
+        if dissolution.incomplete_since_s is None:
             return False
-        short_s = self.timer.now_s() - dissolution.short_since_s
-        return short_s >= self.stall_s + STALL_MARGIN_S
+        incomplete_s = self.timer.now_s() - dissolution.incomplete_since_s
+        return incomplete_s >= self.stall_s + STALL_MARGIN_S
 
-    def _is_out_of_reach(self, head: BackendServer) -> bool:
+    def _is_unreachable(self, head: BackendServer) -> bool:
         listed = head.backend_id in self.directory.backends
         return not listed or head.backend_id in self.losses.dead
 
-    def _order(self, key: Key, dissolution: Dissolution) -> None:
+    def _send_orders(self, key: Key, dissolution: Dissolution) -> None:
         head = dissolution.members.get(0)
         if head is None:
             self._order_members_to_leave(key, dissolution)
             return
-        if dissolution.finishes_work and self._must_finish(key, dissolution, head):
-            self.desk.send(head, GroupOrder(OrderKind.CLOSE, *key), self._asker(head))
+        if dissolution.finishes_work and self._should_finish_requests(
+            key, dissolution, head
+        ):
+            self.order_sender.send(
+                head, GroupOrder(OrderKind.CLOSE, *key), self._probe_on_failure(head)
+            )
             return
-        ask = self._asker(head)
+        probe_on_failure = self._probe_on_failure(head)
 
-        def on_reply(got: Result[OrderReply, Failure]) -> None:
-            if _proves_left(got):
+        def on_reply(response: Result[OrderReply, Failure]) -> None:
+            if _proves_left(response):
                 dissolution.head_has_left = True
-            ask(got)
+            probe_on_failure(response)
 
-        self.desk.send(head, GroupOrder(OrderKind.LEAVE, *key), on_reply)
-        if self._is_out_of_reach(head):
+        self.order_sender.send(head, GroupOrder(OrderKind.LEAVE, *key), on_reply)
+        if self._is_unreachable(head):
             self._order_members_to_leave(key, dissolution)
 
-    def _asker(self, head: BackendServer) -> OnReply:
-        """Return what asks a head for a sign of life if an order goes unanswered."""
+    def _probe_on_failure(self, head: BackendServer) -> OnReply:
+        """Return a callback that probes a head if an order gets no answer."""
 
-        def on_reply(got: Result[OrderReply, Failure]) -> None:
-            if got.is_err():
+        def on_reply(response: Result[OrderReply, Failure]) -> None:
+            if response.is_err():
                 self.losses.ask(head)
 
         return on_reply
 
-    def _must_finish(
+    def _should_finish_requests(
         self, key: Key, dissolution: Dissolution, head: BackendServer
     ) -> bool:
         listed = self.directory.backends.get(head.backend_id)
         if listed is None or listed.membership is None or listed.membership.key != key:
             return False
-        if self.timer.now_s() - dissolution.began_s > CLOSE_LIMIT_S:
+        if self.timer.now_s() - dissolution.began_s > CLOSE_TIMEOUT_S:
             return False
         return listed.membership.state in (MemberState.OPEN, MemberState.CLOSING)
 
     def _order_members_to_leave(self, key: Key, dissolution: Dissolution) -> None:
-        """Without its members a head that is out of reach breaks by itself."""
+        """Order the members to leave, which breaks a head that cannot be reached."""
 
-        def on_reply(got: Result[OrderReply, Failure]) -> None:
-            if got.is_ok() and got.unwrap().is_accepted:
-                self._is_short(dissolution)
+        def on_reply(response: Result[OrderReply, Failure]) -> None:
+            if response.is_ok() and response.unwrap().is_accepted:
+                self._mark_incomplete(dissolution)
 
         for rank, member in dissolution.members.items():
             if rank == 0:
                 continue
             if member.backend_id in self.losses.replaced:
-                self._is_short(dissolution)
+                self._mark_incomplete(dissolution)
             else:
-                # Who does not answer may only be out of reach, and at work.
-                self.desk.send(member, GroupOrder(OrderKind.LEAVE, *key), on_reply)
+                # A member that does not answer may be unreachable but still working,
+                # so only an accepted order counts.
+                self.order_sender.send(
+                    member, GroupOrder(OrderKind.LEAVE, *key), on_reply
+                )
 
-    def _is_short(self, dissolution: Dissolution) -> None:
-        if dissolution.short_since_s is None:
-            dissolution.short_since_s = self.timer.now_s()
+    def _mark_incomplete(self, dissolution: Dissolution) -> None:
+        if dissolution.incomplete_since_s is None:
+            dissolution.incomplete_since_s = self.timer.now_s()
 
     def free_leftovers(self, taken: Set[str]) -> None:
-        """Have members of released groups give up their places.
+        """Order the remaining members of released groups to leave.
 
-        Their entries would name the group until they join another one. The next
-        planner can't know that the head has left it, and would let them wait for
+        Otherwise their entries would name the group until they join another one. The
+        next planner can't know that the head has left, and would make them wait for
         that.
 
         Args:
-            taken: Backend servers that are joining another group.
+            taken: Ids of the backend servers that are joining another group.
         """
-        unwilling = taken | self.losses.dead
+        excluded = taken | self.losses.dead
         for key in self.released:
             for backend in self.directory.index.members(key):
-                if backend.backend_id not in unwilling:
-                    self.desk.send(backend, GroupOrder(OrderKind.LEAVE, *key))
+                if backend.backend_id not in excluded:
+                    self.order_sender.send(backend, GroupOrder(OrderKind.LEAVE, *key))
 
     def member_ids(self) -> set[str]:
         """Return the backend servers that must not join another group yet."""
         return {m.backend_id for d in self.active.values() for m in d.members.values()}
 
     def is_held(self, key: Key) -> bool:
-        """Return whether the members of a group must not move yet."""
+        """Return whether a group is being dissolved, so its members must not move."""
         return key in self.active
 
     def forget(self) -> None:
-        """Forget everything; another planner goes on."""
+        """Forget all groups, because another planner takes over."""
         self.active.clear()
         self.released.clear()
 
 
-def _proves_left(got: Result[OrderReply, Failure]) -> bool:
-    """Return whether an answer to a leave shows that the head serves no longer."""
-    if got.is_err():
+def _proves_left(response: Result[OrderReply, Failure]) -> bool:
+    """Return whether the reply to a leave order shows that the head has stopped."""
+    if response.is_err():
         return False
-    reply = got.unwrap()
+    reply = response.unwrap()
     return reply.is_accepted or reply.status == _OTHER_BACKEND
--- a/packages/placement/src/fordhatch/placement/_formations.py
+++ b/packages/placement/src/fordhatch/placement/_formations.py
@@ -10,48 +10,50 @@
 from fordhatch.registry import BackendDirectory, ReplicaGroup
 
 from ._layout import GroupPlan
-from ._order_desk import OrderDesk
+from ._order_sender import OrderSender
 
-JOIN_SLACK_S = 2.0
-"""A group that is not ready this long after its time is given up."""
+JOIN_TOLERANCE_S = 2.0
+"""A formation is given up when its group is not ready this long after the expected
+time."""
 
 LOAD_SLACK_FACTOR = 3.0
-"""Loads slow each other down; up to this factor on the load time is waited for."""
+"""Concurrent loads slow each other down. A formation waits for up to this multiple of
+the load time."""
 
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class Formation:
-    """One group on its way."""
+    """A group that is being formed."""
 
     plan: GroupPlan
     began_s: float
-    give_up_s: float
+    deadline_s: float
 
     @property
     def member_ids(self) -> tuple[str, ...]:
-        """The members by rank."""
+        """Ids of the members by rank."""
         return tuple(m.backend_id for m in self.plan.members)
 
 
 @attrs.define(eq=False, repr=False)
 class Formations:
-    """Sends joins until every member is ready, then opens the head."""
+    """Sends join orders until every member is ready, then opens the head."""
 
-    desk: OrderDesk
+    order_sender: OrderSender
     directory: BackendDirectory
     timer: Timer
     active: dict[Key, Formation] = attrs.field(factory=dict)
 
     def begin(self, plan: GroupPlan, epoch: int) -> None:
-        """Begin to form a group under an epoch that no group has had."""
+        """Begin to form a group under an epoch that no group has used."""
         key = (group_name(plan.model.name, epoch), epoch)
         now_s = self.timer.now_s()
         wait_s = plan.ready_in_s
         if plan.loads:
             wait_s *= LOAD_SLACK_FACTOR
-        self.active[key] = Formation(plan, now_s, now_s + wait_s + JOIN_SLACK_S)
+        self.active[key] = Formation(plan, now_s, now_s + wait_s + JOIN_TOLERANCE_S)
         log_event(
             "group_forming",
             group=key[0],
@@ -63,21 +65,21 @@
         )
 
     def step(self, groups: dict[Key, ReplicaGroup]) -> list[Key]:
-        """Send the joins that are due.
+        """Send the join orders that are due.
 
         Args:
-            groups: The groups as they are reported.
+            groups: The groups as reported by their members.
 
         Returns:
-            Formations that took too long.
+            Keys of the formations that took too long.
         """
-        late = []
+        expired = []
         for key, formation in self.active.items():
-            if self.timer.now_s() > formation.give_up_s:
-                late.append(key)
+            if self.timer.now_s() > formation.deadline_s:
+                expired.append(key)
                 continue
             self._order_joins(key, formation, groups.get(key))
-        return late
+        return expired
 
     def _order_joins(
         self, key: Key, formation: Formation, group: ReplicaGroup | None
@@ -91,16 +93,16 @@
         )
         for member in formation.plan.members:
             if member.backend_id not in joined:
-                self.desk.send(member, order)
+                self.order_sender.send(member, order)
 
     def open(self, group: ReplicaGroup) -> None:
         """Order the head of a complete group to serve."""
         head = group.head
         if head.membership.state is MemberState.READY:
-            self.desk.send(head, GroupOrder(OrderKind.OPEN, *group.key))
+            self.order_sender.send(head, GroupOrder(OrderKind.OPEN, *group.key))
 
     def opened(self, key: Key) -> bool:
-        """Take a group that serves off the list; returns whether it was there."""
+        """Complete a formation whose group serves; return whether it was active."""
         formation = self.active.pop(key, None)
         if formation is None:
             return False
@@ -110,5 +112,5 @@
         return True
 
     def member_ids(self) -> set[str]:
-        """Return the backend servers that are spoken for."""
+        """Return the backend servers that are members of a formation."""
         return {m for f in self.active.values() for m in f.member_ids}
--- a/packages/placement/src/fordhatch/placement/_group_builder.py
+++ b/packages/placement/src/fordhatch/placement/_group_builder.py
@@ -1,4 +1,4 @@
-"""Decides on new groups, and on groups that give way to others."""
+"""Decides which groups to form, and which groups to give up for other models."""
 
 from __future__ import annotations
 
@@ -17,22 +17,24 @@
 from ._group_care import GroupCare
 from ._layout import FreeBackends, GroupPlan, Layout, choose_group
 
-CONVERSION_LIMIT_S = 8.0
-"""Heads that are closed for a conversion finish their requests within this time."""
+CONVERSION_TIMEOUT_S = 8.0
+"""Time within which heads that are closed for a conversion finish their requests."""
 
-MOST_CONVERSIONS = 3
-"""Conversions at a time. Each takes about three seconds, and a burst may want three
-groups to give way; more at once would leave a model of six groups with too few."""
+MAX_CONVERSIONS = 3
+"""Maximum number of concurrent conversions. Each takes about three seconds, and a burst
+may need three groups to be given up. More at once would leave a model of six groups
+with too few."""
 
 
-REVERSAL_S = 8.0
-"""A model that has just got a group of another one gives none up for this long: what
-is asked for is known to a tenth, and each move costs both two seconds of a group."""
+CONVERSION_COOLDOWN_S = 8.0
+"""Time for which a model that has gained a group by a conversion gives none up. Demand
+is known to about a tenth only, and each conversion costs both models two seconds of a
+group."""
 
 
 @attrs.frozen
-class _Pending:
-    """A conversion whose donors have not all let go."""
+class _PendingConversion:
+    """A conversion whose donor groups have not all been released."""
 
     conversion: Conversion
     since_s: float
@@ -40,18 +42,18 @@
 
 @attrs.define(eq=False, repr=False)
 class GroupBuilder:
-    """Forms groups of free backend servers, and has others give way for them."""
+    """Forms groups from free backend servers and gives up other groups for them."""
 
     care: GroupCare
     formations: Formations
     dissolutions: Dissolutions
     timer: Timer
     next_epoch: Callable[[], int]
-    """Returns an epoch that no group has had."""
-    _pending: dict[str, _Pending] = attrs.field(factory=dict)
-    """Conversions by fabric domain."""
-    _gained_s: dict[str, float] = attrs.field(factory=dict)
-    """When a group last gave way for each model."""
+    """Returns an epoch that no group has used."""
+    _pending: dict[str, _PendingConversion] = attrs.field(factory=dict)
+    """Pending conversions by fabric domain."""
+    _last_gain_s: dict[str, float] = attrs.field(factory=dict)
+    """Time at which each model last gained a group by a conversion."""
 
     def step(
         self,
@@ -62,34 +64,38 @@
         is_first_layout: bool,
         may_convert: bool,
     ) -> list[BackendServer]:
-        """Form what is useful; returns who is still free.
+        """Form the groups that are useful.
 
         Args:
-            layout: The groups that there are.
+            layout: The existing groups.
             free: Backend servers that are in no group.
-            kept: Groups that are there to stay.
-            is_first_layout: Nothing serves yet; loads are quick.
-            may_convert: Groups may be given up for others in this step.
+            kept: Groups that are to be kept.
+            is_first_layout: Whether no group serves yet, so that loads are quick.
+            may_convert: Whether groups may be given up for others in this step.
+
+        Returns:
+            The backend servers that are still free.
         """
         free = self._finish_conversions(layout, free)
-        # Who is free is used first: what is left of a lost group mostly forms it again
-        # at once, and no other group need give way for that.
-        left = self._form(layout, free, is_first_layout)
-        has_formed = len(left) < len(free)
+        # Use free backend servers first: the survivors of a lost group usually form
+        # it again immediately, without a conversion.
+        remaining = self._form(layout, free, is_first_layout)
+        has_formed = len(remaining) < len(free)
         if may_convert and not is_first_layout and not has_formed:
-            left = self._convert(layout, left, kept)
-        return left
+            remaining = self._convert(layout, remaining, kept)
+        return remaining
 
     def forget(self) -> None:
-        """Forget what is under way; another planner goes on."""
+        """Forget pending conversions, because another planner takes over."""
         self._pending.clear()
-        self._gained_s.clear()
+        self._last_gain_s.clear()
 
-    def _letting_go(self) -> Counter[str]:
-        """Return the lost groups by model whose members are not free yet.
+    def _dissolving_groups(self) -> Counter[str]:
+        """Return the number of lost groups by model whose members are not free yet.
 
-        They are formed again as soon as these are; no other group need give way. Those
-        whose members are free count no more, as these may form what is needed most.
+        These groups are formed again as soon as their members are free, so no other
+        group needs to be given up for them. A group whose members are free is not
+        counted, as they may form the group that is needed most.
         """
         donors = {g.key for p in self._pending.values() for g in p.conversion.donors}
         return Counter(
@@ -98,36 +104,39 @@
             if key not in donors
         )
 
-    def _has_gained(self, model: str, now_s: float) -> bool:
-        """Return whether groups of other models gave way for a model lately."""
-        gained_s = self._gained_s.get(model)
-        return gained_s is not None and now_s - gained_s < REVERSAL_S
+    def _has_gained_recently(self, model: str, now_s: float) -> bool:
+        """Return whether a model has recently gained a group by a conversion."""
+        gained_s = self._last_gain_s.get(model)
+        return gained_s is not None and now_s - gained_s < CONVERSION_COOLDOWN_S
 
-    def on_their_way(self) -> list[tuple[str, str]]:
-        """Return model and domain of the groups that others give way for."""
+    def pending_groups(self) -> list[tuple[str, str]]:
+        """Return model and domain of the groups to form by pending conversions."""
         return [(p.conversion.model.name, d) for d, p in self._pending.items()]
 
     def _form(
         self, layout: Layout, free: list[BackendServer], is_first_layout: bool
     ) -> list[BackendServer]:
-        left = FreeBackends(free)
+        remaining = FreeBackends(free)
         while True:
-            plan = choose_group(layout, left, is_first_layout=is_first_layout)
+            plan = choose_group(layout, remaining, is_first_layout=is_first_layout)
             if plan is None:
-                return left.all()
-            self._begin(layout, plan)
-            left.take(plan)
+                return remaining.all()
+            self._begin_formation(layout, plan)
+            remaining.take(plan)
 
     def _finish_conversions(
         self, layout: Layout, free: list[BackendServer]
     ) -> list[BackendServer]:
-        """Form the groups that others were given up for, once all have let go.
+        """Form the groups of conversions whose donor groups have all been released.
 
-        Until then nobody else gets their members; returns who else is free.
+        Until then, free backend servers of the domain are reserved.
+
+        Returns:
+            The backend servers that are free for other groups.
         """
         for domain, pending in list(self._pending.items()):
             if layout.profile.model(pending.conversion.model.name) is None:
-                # Another service's; its own step sees to it.
+                # The conversion belongs to another service and is handled in its step.
                 continue
             free = self._finish(layout, free, domain, pending)
         return free
@@ -137,30 +146,30 @@
         layout: Layout,
         free: list[BackendServer],
         domain: str,
-        pending: _Pending,
+        pending: _PendingConversion,
     ) -> list[BackendServer]:
         waited_s = self.timer.now_s() - pending.since_s
         donors = pending.conversion.donors
-        held = any(self.dissolutions.is_held(g.key) for g in donors)
-        if held and waited_s < CONVERSION_LIMIT_S:
+        is_dissolving = any(self.dissolutions.is_held(g.key) for g in donors)
+        if is_dissolving and waited_s < CONVERSION_TIMEOUT_S:
             return [b for b in free if b.domain != domain]
         del self._pending[domain]
-        # It has been counted as if it were there.
+        # The layout counts the pending group as if it existed.
         model = pending.conversion.model
         layout.remove(model.name, domain)
-        there = [b for b in free if b.domain == domain]
-        plan = choose_group(layout, there, only_model=model.name)
+        domain_free = [b for b in free if b.domain == domain]
+        plan = choose_group(layout, domain_free, only_model=model.name)
         if plan is None:
             return free
-        self._begin(layout, plan)
+        self._begin_formation(layout, plan)
         taken = {m.backend_id for m in plan.members}
         return [b for b in free if b.backend_id not in taken]
 
-    def _begin(self, layout: Layout, plan: GroupPlan) -> None:
+    def _begin_formation(self, layout: Layout, plan: GroupPlan) -> None:
         self.formations.begin(plan, self.next_epoch())
         for member in plan.members:
-            # An entry outlives its backend server by seconds, and by the whole of an
-            # outage of the store; a dead member would hold the others for two seconds.
+            # An entry outlives its backend server by seconds, or by the length of a
+            # store outage. A dead member would delay the others for two seconds.
             self.care.losses.ask(member)
         layout.add(plan.model.name, plan.members[0].domain)
 
@@ -170,9 +179,9 @@
         """Give up groups for one that is worth more, one conversion in each domain.
 
         Returns:
-            Who is free for other groups meanwhile.
+            The backend servers that are free for other groups meanwhile.
         """
-        if len(self._pending) >= MOST_CONVERSIONS:
+        if len(self._pending) >= MAX_CONVERSIONS:
             return free
         serving = [
             g
@@ -182,17 +191,17 @@
             and g.head.domain not in self._pending
         ]
         if self.formations.active or self._pending:
-            # A new version takes over group by group: the next one only gives way
-            # when the one before has been replaced.
+            # Groups of a model that is no longer declared are replaced one by one: the
+            # next is given up only when the previous one has been replaced.
             serving = [g for g in serving if layout.profile.model(g.model) is not None]
         now_s = self.timer.now_s()
-        serving = [g for g in serving if not self._has_gained(g.model, now_s)]
-        healed = layout.with_more(self._letting_go())
-        found = choose_conversion(healed, free, serving)
+        serving = [g for g in serving if not self._has_gained_recently(g.model, now_s)]
+        expected_layout = layout.with_more(self._dissolving_groups())
+        found = choose_conversion(expected_layout, free, serving)
         if found is None:
             return free
-        self._pending[found.domain] = _Pending(found, now_s)
-        self._gained_s[found.model.name] = now_s
+        self._pending[found.domain] = _PendingConversion(found, now_s)
+        self._last_gain_s[found.model.name] = now_s
         for group in found.donors:
             reason = f"makes room for {found.model.name}"
             self.care.dissolve(group, reason, finishes_work=True, is_lost=False)
--- a/packages/placement/src/fordhatch/placement/_loss_check.py
+++ b/packages/placement/src/fordhatch/placement/_loss_check.py
@@ -1,4 +1,4 @@
-"""Finds out which backend servers are lost, by asking them."""
+"""Determines which backend servers are lost by probing them."""
 
 from __future__ import annotations
 
@@ -11,56 +11,57 @@
 from fordhatch.core import TaskSet, Timer, log_event
 from fordhatch.registry import probe
 
-RECHECK_S = 3.0
-"""How long a finding holds before the backend server is asked again, unless there is
-a newer reason to ask."""
+RECHECK_INTERVAL_S = 3.0
+"""Time for which a finding is valid before the backend server is probed again, unless
+there is a newer reason to probe it."""
 
 
 @attrs.define(eq=False, repr=False)
 class LossCheck:
-    """Findings about backend servers that someone missed."""
+    """Probes backend servers that may be lost and keeps the findings."""
 
     backends: BackendClient
     timer: Timer
     dead: set[str] = attrs.field(factory=set)
-    """Did not answer when asked, though still listed perhaps."""
+    """Backend servers that did not answer a probe. They may still be listed."""
     replaced: set[str] = attrs.field(factory=set)
-    """Another backend server answers at their address: that start of them has ended
-    for certain."""
-    _answered_s: dict[str, float] = attrs.field(factory=dict)
-    """When the probe was sent that was answered last."""
-    _asking: set[str] = attrs.field(factory=set)
+    """Backend servers that have certainly terminated, because another one or a later
+    start of the same one has their address."""
+    _last_answered_s: dict[str, float] = attrs.field(factory=dict)
+    """Time at which the last answered probe of each backend server was sent."""
+    _probing: set[str] = attrs.field(factory=set)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def is_alive(self, backend_id: str, since_s: float | None = None) -> bool:
-        """Return whether it has answered a probe that was sent after a moment.
+        """Return whether a backend server has answered a recent probe.
 
         Args:
             backend_id: The backend server.
-            since_s: The moment, in monotonic seconds; a short time ago if None.
+            since_s: Earliest time at which the probe was sent, in monotonic seconds;
+                if None, one recheck interval ago.
         """
         if since_s is None:
-            since_s = self.timer.now_s() - RECHECK_S
-        return self._answered_s.get(backend_id, -math.inf) >= since_s
+            since_s = self.timer.now_s() - RECHECK_INTERVAL_S
+        return self._last_answered_s.get(backend_id, -math.inf) >= since_s
 
     def ask(self, backend: BackendServer, since_s: float | None = None) -> None:
-        """Ask for a sign of life, unless one came after ``since_s``."""
+        """Probe a backend server, unless it answered a probe sent after ``since_s``."""
         backend_id = backend.backend_id
         known = self.is_alive(backend_id, since_s) or backend_id in self.dead
-        if known or backend_id in self._asking:
+        if known or backend_id in self._probing:
             return
-        self._asking.add(backend_id)
-        self._tasks.spawn(self._ask(backend), f"ask-{backend_id}")
+        self._probing.add(backend_id)
+        self._tasks.spawn(self._probe(backend), f"ask-{backend_id}")
 
-    async def _ask(self, backend: BackendServer) -> None:
+    async def _probe(self, backend: BackendServer) -> None:
         backend_id = backend.backend_id
         sent_s = self.timer.now_s()
         try:
             found = await probe(self.backends, backend)
         finally:
-            self._asking.discard(backend_id)
+            self._probing.discard(backend_id)
         if found.is_ok() and found.unwrap().is_of(backend):
-            self._answered_s[backend_id] = sent_s
+            self._last_answered_s[backend_id] = sent_s
             self.dead.discard(backend_id)
             return
         self.dead.add(backend_id)
@@ -69,31 +70,31 @@
         log_event("backend_lost", backend=backend_id, replaced=found.is_ok())
         self._tasks.spawn(self._recheck(backend), f"recheck-{backend_id}")
 
-    def found_ended(self, backend_id: str) -> None:
-        """Note that a backend server has ended: a later start has its place."""
+    def mark_terminated(self, backend_id: str) -> None:
+        """Record that a backend server has terminated and a later start replaces it."""
         self.dead.add(backend_id)
         self.replaced.add(backend_id)
 
     async def _recheck(self, backend: BackendServer) -> None:
-        """Ask again later: whoever was only out of reach may be used again."""
-        await self.timer.sleep(RECHECK_S)
+        """Probe again later, so that a server that was only unreachable is reused."""
+        await self.timer.sleep(RECHECK_INTERVAL_S)
         if backend.backend_id in self.dead and backend.backend_id not in self.replaced:
             self.dead.discard(backend.backend_id)
             self.ask(backend)
 
     def keep_only(self, backend_ids: set[str]) -> None:
-        """Forget backend servers that nobody speaks of any more."""
+        """Forget the findings about all other backend servers."""
         self.dead &= backend_ids
         self.replaced &= backend_ids
-        for backend_id in set(self._answered_s) - backend_ids:
-            del self._answered_s[backend_id]
+        for backend_id in set(self._last_answered_s) - backend_ids:
+            del self._last_answered_s[backend_id]
 
     def forget(self) -> None:
         """Forget every finding."""
         self.dead.clear()
         self.replaced.clear()
-        self._answered_s.clear()
+        self._last_answered_s.clear()
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Cancel pending probes."""
         await self._tasks.close()
--- a/packages/placement/src/fordhatch/placement/_order_desk.py
+++ b/packages/placement/src/fordhatch/placement/_order_sender.py
@@ -1,4 +1,4 @@
-"""Sends orders to backend servers and remembers what was asked for."""
+"""Sends orders to backend servers and tracks which orders were sent."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from fordhatch.core import Failure, TaskSet, Timer, log_event, metrics
 
 ORDER_TIMEOUT_S = 0.4
-"""A backend server answers an order within milliseconds."""
+"""Timeout of an order. A backend server answers within milliseconds."""
 
-RESEND_S = 0.6
-"""An order whose effect is not seen is sent again after this time."""
+RESEND_INTERVAL_S = 0.6
+"""Time after which an order is retried if its effect has not been observed."""
 
 OnReply = Callable[[Result[OrderReply, Failure]], None]
 
 
 @attrs.define(eq=False, repr=False)
-class OrderDesk:
-    """Orders in flight; the same order is not sent again too soon.
+class OrderSender:
+    """Sends orders and suppresses retries of the same order that come too soon.
 
-    Every order names its group and epoch, so an order that is carried out late is
-    refused, or changes nothing, once a newer one has been accepted.
+    Every order names its group and epoch. An order that arrives after a newer one has
+    been accepted is therefore refused or has no effect.
     """
 
     backends: BackendClient
     timer: Timer
     fencing_token: Callable[[], int]
-    """Returns the token of the lease under which orders are sent."""
-    superseded: Callable[[], None]
+    """Returns the fencing token of the lease under which orders are sent."""
+    on_superseded: Callable[[], None]
     """Called when a backend server has seen a higher token than the one sent."""
     _sent_s: dict[tuple[str, OrderKind, str, int], float] = attrs.field(factory=dict)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
@@ -43,22 +43,23 @@
         order: GroupOrder,
         on_reply: OnReply | None = None,
         *,
-        again_s: float = RESEND_S,
+        resend_interval_s: float = RESEND_INTERVAL_S,
     ) -> bool:
-        """Send an order unless it was sent a short time ago.
+        """Send an order unless the same order was sent recently.
 
         Args:
-            backend: Who gets it.
+            backend: The backend server that receives the order.
             order: The order.
-            on_reply: Called with the reply, or with the failure where none came.
-            again_s: When the same order may be sent again, in seconds.
+            on_reply: Called with the reply, or with the failure if none arrived.
+            resend_interval_s: Time before the same order may be sent again, in
+                seconds.
 
         Returns:
-            Whether it is being sent.
+            Whether the order is being sent.
         """
         key = (backend.backend_id, order.kind, order.group or order.model, order.epoch)
         now_s = self.timer.now_s()
-        if now_s - self._sent_s.get(key, -again_s) < again_s:
+        if now_s - self._sent_s.get(key, -resend_interval_s) < resend_interval_s:
             return False
         self._sent_s[key] = now_s
         order = attrs.evolve(order, fencing_token=self.fencing_token())
@@ -68,11 +69,11 @@
     async def _deliver(
         self, backend: BackendServer, order: GroupOrder, on_reply: OnReply | None
     ) -> None:
-        got = await self.backends.order(
+        response = await self.backends.order(
             backend.address, backend.registered_id, order, timeout_s=ORDER_TIMEOUT_S
         )
-        reply = got.ok()
-        outcome = str(reply.status) if reply is not None else got.err().code.name
+        reply = response.ok()
+        outcome = str(reply.status) if reply is not None else response.err().code.name
         metrics.ORDERS.labels(outcome).inc()
         log_event(
             "order_sent",
@@ -84,22 +85,22 @@
             fencing_token=order.fencing_token,
             outcome=outcome,
         )
-        # A join may also be refused for its epoch, when the same planner has ordered
-        # another one since.
+        # A join may also be refused because of its epoch, if the same planner has
+        # sent a newer join since.
         if reply is not None and reply.is_too_old and order.kind is not OrderKind.JOIN:
-            self._note_superseded(order)
+            self._check_superseded(order)
         if on_reply is not None:
-            on_reply(got)
+            on_reply(response)
 
-    def _note_superseded(self, order: GroupOrder) -> None:
-        """Stop, unless this node has a newer token than the order had."""
+    def _check_superseded(self, order: GroupOrder) -> None:
+        """Report a higher token, unless this node's own token has risen since."""
         if order.fencing_token == self.fencing_token():
-            self.superseded()
+            self.on_superseded()
 
     def forget(self) -> None:
-        """Forget what was sent."""
+        """Forget the orders that were sent."""
         self._sent_s.clear()
 
     async def close(self) -> None:
-        """Cancel what is being sent."""
+        """Cancel the orders in flight."""
         await self._tasks.close()
--- a/packages/placement/src/fordhatch/placement/_planner.py
+++ b/packages/placement/src/fordhatch/placement/_planner.py
@@ -1,4 +1,4 @@
-"""The planner: one node at a time decides which groups there are."""
+"""The planner, which decides on one node at a time which replica groups exist."""
 
 from __future__ import annotations
 
@@ -30,43 +30,46 @@
 from ._layout import Layout
 from ._load_budget import LoadBudget
 from ._loss_check import LossCheck
-from ._order_desk import OrderDesk
+from ._order_sender import OrderSender
 from ._planner_lease import PlannerLease
 from ._slow_backends import SlowBackends
 from ._staging import Staging
 
-STEP_S = 0.05
-"""Time between steps of the planner; also the longest delay that it adds."""
+STEP_INTERVAL_S = 0.05
+"""Time between planner steps, and the longest delay that the planner adds."""
 
-SLOW_STEP_S = 0.1
-"""Time between looks at conversions and loads. These take seconds, and were half of a
-step's processor time at 925 backend servers."""
+SLOW_STEP_INTERVAL_S = 0.1
+"""Time between checks of conversions and loads. Both take seconds to complete, and
+checking them in every step would double its processor time at 925 backend servers."""
 
 PLANNER_GATHER_S = 0.03
-"""Pause in which changes of backend servers gather for the planner: every step of a
-formation waits for it."""
+"""Time over which the planner's node batches changes of backend servers. Every stage
+of a formation waits this long."""
 
 EPOCHS_PER_RENEWAL = 1000
-"""Epochs that are derived from one version of the lease's row."""
+"""Number of epochs that can be derived from one version of the lease row."""
 
-MOST_REMEMBERED = 1000
-"""Backend servers that are not listed and whose last model is remembered: they may be
-back, and then rejoin in 0.2 s. It is forgotten of all of them when there are more."""
+MAX_REMEMBERED_BACKENDS = 1000
+"""Maximum number of unlisted backend servers whose last model is remembered. A backend
+server that is listed again rejoins a group of that model in 0.2 s. Above the maximum,
+the entries of all unlisted backend servers are dropped."""
 
 FREE_LOADS_S = 9.0
-"""At the first start of the whole system, loads before the first request are quick
-and unlimited; traffic begins 12 s after the instances or later."""
+"""Time after the first start of the whole system in which loads are quick and not
+limited, as long as no request has arrived. Traffic begins 12 s after the instances
+start, or later."""
 
-FILLED_AFTER_S = 0.6
-"""At the first start, groups are laid out when no backend server has appeared for
-this long: they register within about two seconds of each other."""
+REGISTRATION_QUIET_S = 0.6
+"""At the first start, the planner lays out groups when no backend server has
+registered for this long. Backend servers register within about two seconds of each
+other."""
 
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class Planner:
-    """Keeps as many groups open as the backend servers allow."""
+    """Keeps as many replica groups open as the backend servers allow."""
 
     view: StoreView
     lease: PlannerLease
@@ -75,7 +78,7 @@
     bounds: SystemBounds
     is_first_start: bool
     has_traffic: Callable[[], bool]
-    desk: OrderDesk
+    order_sender: OrderSender
     losses: LossCheck
     formations: Formations
     dissolutions: Dissolutions
@@ -90,14 +93,14 @@
     builder: GroupBuilder = attrs.field(init=False)
     last_model: dict[str, str] = attrs.field(factory=dict)
     """Model of each backend server's last group."""
-    _led: bool = False
-    _epochs: int = 0
+    _is_leading: bool = False
+    _issued_epochs: int = 0
     _epoch_base: int = 0
     _started_s: float = -math.inf
-    _backends_seen: int = 0
-    _newest_s: float = 0.0
-    _slow_step_s: float = -math.inf
-    """When conversions and loads are looked at next."""
+    _known_backend_count: int = 0
+    _last_appeared_s: float = 0.0
+    _next_slow_step_s: float = -math.inf
+    """When conversions and loads are checked next."""
 
     @classmethod
     def create(
@@ -112,13 +115,17 @@
         is_first_start: bool,
         has_traffic: Callable[[], bool],
     ) -> Planner:
-        """Build the planner of a node; it acts only while it has the lease."""
-        desk = OrderDesk(backends, timer, lambda: lease.fencing_token, lease.superseded)
+        """Build the planner of a node; it acts only while the node holds the lease."""
+        order_sender = OrderSender(
+            backends, timer, lambda: lease.fencing_token, lease.step_down
+        )
         losses = LossCheck(backends, timer)
         directory = view.directory
         loads = LoadBudget(timer, bounds.load_window_s)
-        formations = Formations(desk, directory, timer)
-        dissolutions = Dissolutions(desk, losses, directory, timer, bounds.stall_s)
+        formations = Formations(order_sender, directory, timer)
+        dissolutions = Dissolutions(
+            order_sender, losses, directory, timer, bounds.stall_s
+        )
         loops = CrashLoops(timer)
         care = GroupCare(view, store, timer, losses, formations, dissolutions, loops)
         planner = cls(
@@ -129,12 +136,12 @@
             bounds,
             is_first_start,
             has_traffic,
-            desk,
+            order_sender,
             losses,
             formations,
             dissolutions,
             loads,
-            Staging(desk, loads, timer),
+            Staging(order_sender, loads, timer),
             care,
             GroupRecorder(store, view.shared, timer),
             SlowBackends(view, store, backends, timer),
@@ -145,64 +152,67 @@
         planner.builder = GroupBuilder(
             care, formations, dissolutions, timer, planner.next_epoch
         )
-        directory.subscribe_changes(planner._note_model)
-        directory.subscribe_ends(planner._note_end)
+        directory.subscribe_changes(planner._record_model)
+        directory.subscribe_ends(planner._handle_termination)
         return planner
 
     async def run(self) -> None:
-        """Plan whenever this node has the lease, until cancelled."""
+        """Plan whenever this node holds the lease, until cancelled."""
         if self._started_s == -math.inf:
             self._started_s = self.timer.now_s()
         while True:
             if self.lease.is_held():
-                self._lead()
+                self._start_leading()
                 self.step()
-                await self.timer.sleep(STEP_S)
+                await self.timer.sleep(STEP_INTERVAL_S)
                 continue
-            if self._led:
+            if self._is_leading:
                 self._stop_leading()
             await self.lease.until_held()
 
-    def _lead(self) -> None:
-        if self._led:
+    def _start_leading(self) -> None:
+        if self._is_leading:
             return
-        self._led = True
+        self._is_leading = True
         self.view.backends.gather_s = PLANNER_GATHER_S
         if not self._are_loads_free() and not self.lease.is_first_holder:
-            # An earlier planner may just have used the whole window.
+            # The previous planner may have just used up the load window.
             configuration = self.view.configuration.current
             for service in configuration.engine_services() if configuration else ():
                 self.loads.fill(service.engine.loads_per_s)
 
     def _stop_leading(self) -> None:
-        self._led = False
+        self._is_leading = False
         self.view.backends.gather_s = BACKENDS_GATHER_S
         self.formations.active.clear()
         self.dissolutions.forget()
         self.losses.forget()
-        self.desk.forget()
+        self.order_sender.forget()
         self.staging.forget()
         self.care.forget()
         self.loops.forget()
         self.demand.forget()
         self.builder.forget()
 
-    def _note_model(self, backend: BackendServer) -> None:
-        """Remember the model of a backend server's last group."""
+    def _record_model(self, backend: BackendServer) -> None:
+        """Record the model of a backend server's last group.
+
+        A member that is still joining has not served the model yet.
+        """
         place = backend.membership
         if place is not None and place.state is not MemberState.JOINING:
             self.last_model[backend.backend_id] = model_of_group(place.group)
 
-    def _note_end(self, backend: BackendServer, is_restarted: bool) -> None:
-        """Take a backend server that has started again for one that holds nothing.
+    def _handle_termination(self, backend: BackendServer, is_restarted: bool) -> None:
+        """Forget the last model of a backend server that has restarted.
 
-        One that is only no longer listed may be back, with what it held.
+        A backend server that is merely unlisted may still run with its weights.
         """
         if not is_restarted:
             return
         self.last_model.pop(backend.backend_id, None)
-        if self._led:
-            self.losses.found_ended(backend.backend_id)
+        if self._is_leading:
+            self.losses.mark_terminated(backend.backend_id)
 
     def _are_loads_free(self) -> bool:
         uptime_s = self.timer.now_s() - self._started_s
@@ -210,7 +220,7 @@
         return early and not self.has_traffic()
 
     def step(self) -> None:
-        """Look at everything once and send the orders that are due."""
+        """Evaluate the current state once and send the orders that are due."""
         configuration = self.view.configuration.current
         if configuration is None or not self.view.backends.is_loaded:
             return
@@ -222,7 +232,7 @@
             self._plan_service(service, is_slow_step=is_slow_step)
         self.slow.step()
         self.crash_records.step()
-        self._forget_gone()
+        self._prune_state()
 
     def _plan_service(self, service: Service, *, is_slow_step: bool) -> None:
         directory = self.view.directory
@@ -236,15 +246,15 @@
             service.name, service.engine, layout.backends
         )
         kept: list[ReplicaGroup] = []
-        # Groups of models that are no longer declared come last: whether they are
-        # still needed depends on the others.
+        # Groups of models that are no longer declared come last, because the counts
+        # of the declared models decide whether they are still needed.
         declared = sorted(groups.values(), key=lambda g: not _is_declared(service, g))
         for group in declared:
             key = group.key
             if key in self.dissolutions.released:
                 continue
-            held = self.dissolutions.is_held(key)
-            if not held and self.care.tend(layout, group):
+            is_dissolving = self.dissolutions.is_held(key)
+            if not is_dissolving and self.care.tend(layout, group):
                 layout.add(group.model, group.head.domain if group.head else "")
                 kept.append(group)
         for key in (*self.formations.step(groups), *self.care.lost_formations()):
@@ -252,35 +262,36 @@
         for key, formation in self.formations.active.items():
             if key not in groups:
                 layout.add(formation.plan.model.name, formation.plan.members[0].domain)
-        for model, domain in self.builder.on_their_way():
+        for model, domain in self.builder.pending_groups():
             layout.add(model, domain)
         self.dissolutions.step()
-        # Whoever was just found to be lost must not be counted on.
+        # Exclude backend servers that were found to be lost during this step.
         usable = self._usable(service)
         layout.count_backends(usable)
-        busy = self._busy_ids(groups)
-        # Who is known by a record only may have a place that nobody here knows of.
+        assigned = self._assigned_ids(groups)
+        # A backend server that is known from a record only may be a member of a group
+        # that this node does not know.
         free = [
             b
             for b in usable
-            if b.backend_id not in busy and self.view.directory.is_listed(b)
+            if b.backend_id not in assigned and self.view.directory.is_listed(b)
         ]
-        if self._is_still_filling():
+        if self._is_awaiting_backends():
             return
         first = self._are_loads_free()
         may_convert = is_slow_step and self.demand.is_trusted(self.timer.now_s())
-        self._tell(service, layout)
+        self._log_demand(service, layout)
         free = self.builder.step(
             layout, free, kept, is_first_layout=first, may_convert=may_convert
         )
         self.dissolutions.free_leftovers(self.formations.member_ids())
         if first or is_slow_step:
-            grouped = [b for b in usable if b.backend_id in busy]
-            self.staging.forget_done(usable)
+            grouped = [b for b in usable if b.backend_id in assigned]
+            self.staging.discard_finished(usable)
             self.staging.step(layout, free, grouped, are_loads_free=first)
 
-    def _tell(self, service: Service, layout: Layout) -> None:
-        """Log what is asked of each model when that has changed, beside its groups."""
+    def _log_demand(self, service: Service, layout: Layout) -> None:
+        """Log the demand for each model and its groups when the demand has changed."""
         busy = layout.busy_groups or {}
         for model, work in busy.items():
             metrics.MODEL_BUSY_GROUPS.labels(service.name, model).set(work)
@@ -298,18 +309,19 @@
             )
 
     def _is_slow_step_due(self) -> bool:
-        """Return whether it is time to look at conversions and loads again."""
+        """Return whether conversions and loads are due, and schedule the next check."""
         now_s = self.timer.now_s()
-        if now_s < self._slow_step_s:
+        if now_s < self._next_slow_step_s:
             return False
-        self._slow_step_s = now_s + SLOW_STEP_S
+        self._next_slow_step_s = now_s + SLOW_STEP_INTERVAL_S
         return True
 
-    def _busy_ids(self, groups: dict[Key, ReplicaGroup]) -> set[str]:
-        """Return who can't join a group now.
+    def _assigned_ids(self, groups: dict[Key, ReplicaGroup]) -> set[str]:
+        """Return the backend servers that can't join a group now.
 
-        Members of a group that was released a moment ago may, though its entries
-        still name it: whatever waits for them would otherwise find none of them.
+        Members of released groups are not included, although their entries still name
+        the old group for a moment. Otherwise a conversion or a new group that waits
+        for them would find none of them.
         """
         grouped = {
             member.backend_id
@@ -320,6 +332,7 @@
         return grouped | self.formations.member_ids() | self.dissolutions.member_ids()
 
     def _usable(self, service: Service) -> list[BackendServer]:
+        """Return the backend servers of a service that are ready, alive and fast."""
         dead = self.losses.dead
         slow = self.view.shared.slow
         useless = {b for b, pace in slow.items() if pace >= USELESS_PACE}
@@ -331,28 +344,29 @@
             and b.backend_id not in useless
         ]
 
-    def _is_still_filling(self) -> bool:
-        """Return whether, at the very first start, backend servers still appear."""
+    def _is_awaiting_backends(self) -> bool:
+        """Return whether backend servers still register at the first start."""
         now_s = self.timer.now_s()
         count = len(self.view.directory.backends)
-        if count != self._backends_seen:
-            self._backends_seen = count
-            self._newest_s = now_s
-        quiet_s = now_s - self._newest_s
-        return self._are_loads_free() and quiet_s < FILLED_AFTER_S
+        if count != self._known_backend_count:
+            self._known_backend_count = count
+            self._last_appeared_s = now_s
+        unchanged_s = now_s - self._last_appeared_s
+        return self._are_loads_free() and unchanged_s < REGISTRATION_QUIET_S
 
     def next_epoch(self) -> int:
-        """Return an epoch above every epoch of earlier planners and of this one."""
+        """Return an epoch that is higher than every epoch used before."""
         if self.lease.epoch_base != self._epoch_base:
             self._epoch_base = self.lease.epoch_base
-            self._epochs = 0
-        self._epochs += 1
-        return self._epoch_base * EPOCHS_PER_RENEWAL + self._epochs
+            self._issued_epochs = 0
+        self._issued_epochs += 1
+        return self._epoch_base * EPOCHS_PER_RENEWAL + self._issued_epochs
 
-    def _forget_gone(self) -> None:
+    def _prune_state(self) -> None:
+        """Forget groups and backend servers that are no longer relevant."""
         directory = self.view.directory
         listed = set(directory.backends)
-        if len(self.last_model) > len(listed) + MOST_REMEMBERED:
+        if len(self.last_model) > len(listed) + MAX_REMEMBERED_BACKENDS:
             self.last_model = {b: m for b, m in self.last_model.items() if b in listed}
         reported = directory.index.group_keys()
         self.recorder.step(self.care.serving(), reported)
@@ -362,14 +376,14 @@
         self.losses.keep_only(listed | members | self.formations.member_ids())
 
     def take_bounds(self, bounds: SystemBounds) -> None:
-        """Work with changed bounds from now on."""
+        """Apply changed system bounds."""
         self.bounds = bounds
         self.dissolutions.stall_s = bounds.stall_s
         self.loads.window_s = bounds.load_window_s
 
     async def close(self) -> None:
-        """End what is under way."""
-        await self.desk.close()
+        """Cancel pending tasks."""
+        await self.order_sender.close()
         await self.losses.close()
         await self.care.close()
         await self.recorder.close()
--- a/packages/placement/src/fordhatch/placement/_planner_lease.py
+++ b/packages/placement/src/fordhatch/placement/_planner_lease.py
@@ -1,4 +1,4 @@
-"""The lease that makes one node the planner."""
+"""The lease in the store that makes one node the planner."""
 
 from __future__ import annotations
 
@@ -20,105 +20,107 @@
 from fordhatch.core import ResultCode, Timer, log_event, metrics
 
 LEASE_TABLE = "fordhatch-lease"
-"""A table of its own, that nobody follows: each renewal would wake every node."""
+"""A separate table that no node subscribes to. In a shared table, each renewal would
+notify every node."""
 
 LEASE_ROW = RowKey(LEASE_TABLE, "planner")
 
-LEASE_S = 1.6
-"""How long a lease holds after the sending of its last renewal."""
+LEASE_DURATION_S = 1.6
+"""Validity of a lease, counted from when its last renewal was sent."""
 
-RENEW_S = 0.45
-"""Time between renewals: three may fail before the lease ends."""
+RENEW_INTERVAL_S = 0.45
+"""Time between renewals. Three may fail before the lease expires."""
 
-TERMS_PER_GENERATION = 10**9
-"""More than the store's counter reaches within a generation."""
+VERSIONS_PER_GENERATION = 10**9
+"""Upper bound for the store's version counter within one generation."""
 
-MARGIN_S = 0.2
-"""The holder stops this much before others may take over."""
+SAFETY_MARGIN_S = 0.2
+"""The holder stops planning this long before another node may take over."""
 
 CALL_TIMEOUT_S = 0.8
-"""Longest wait for the store."""
+"""Timeout of a store call."""
 
-CANDIDATES = 2
-"""Nodes that look at the lease often; the others look rarely, which is enough if the
-candidates are lost too, and saves calls."""
+CANDIDATE_COUNT = 2
+"""Number of nodes that poll the lease often. The other nodes poll it rarely, which
+saves calls and is enough to take over if the candidates are lost too."""
 
-START_CANDIDATES = 8
-"""Nodes that look at once after their start, while they know no holder: where all have
-started at once, some of these are there. Looks at the lease were one call in seven of
-those in the logs of a bad day."""
+START_CANDIDATE_COUNT = 8
+"""Number of nodes that poll the lease right after their start and until they know a
+holder. If all nodes start at the same time, some of these are available. The number is
+limited because polls of the lease can be one in seven of all store calls."""
 
-NODES_AFTER_S = 10.0
-"""A node that has just started first waits this long for the names of the others: while
-it has not read the table that names them, it could not plan either."""
+NODES_TIMEOUT_S = 10.0
+"""Longest time for which a node waits after its start for the names of the other nodes.
+Until it has read the table with these names, it could not plan either."""
 
-NODES_LOOK_S = 0.02
-"""Time between looks whether the names are there."""
+NODES_POLL_INTERVAL_S = 0.02
+"""Time between checks for the names of the other nodes."""
 
-CANDIDATE_LOOK_S = 0.45
-"""Time between looks of the first candidates."""
+CANDIDATE_POLL_INTERVAL_S = 0.45
+"""Time between polls of the lease by a candidate."""
 
-OTHER_LOOK_S = 2.5
-"""Shortest time between looks of the others."""
+MIN_OTHER_POLL_INTERVAL_S = 2.5
+"""Shortest time between polls of the lease by a node that is not a candidate."""
 
-LOOK_S_PER_RANK = 0.5
-"""Added to that time for each node that comes before: the looks of all nodes together
-then grow with the logarithm of their number, and those of the first few are enough
-when the candidates are lost."""
+POLL_INTERVAL_PER_RANK_S = 0.5
+"""Poll interval of a node that is not a candidate, for each node whose name sorts
+before its own. The total rate of polls then grows with the logarithm of the number of
+nodes, and the first few nodes poll often enough when the candidates are lost."""
 
 
 @attrs.frozen
 class HolderNews:
-    """What a node says of the lease."""
+    """State of the lease as reported by a node."""
 
     is_holder: bool
     version: StoreVersion
-    """Of the lease's row at that node's last renewal."""
+    """Version of the lease row at that node's last renewal."""
 
 
 @attrs.define(eq=False, repr=False)
 class PlannerLease:
     """This node's side of the lease.
 
-    Only the store's row versions decide: whoever replaces the version that it saw
-    last is the holder. Time is measured on this node's own steady clock.
+    Only the store's row versions decide: the node that replaces the version it saw
+    last becomes the holder. Time is measured on the node's own monotonic clock.
 
-    Where the store has come back from an older copy, the row says nothing of whoever
-    held the lease before, and may still go by its own clock: it is waited out.
+    After the store is restored from a backup, the row does not show which node held
+    the lease before. That node may still plan until the lease expires on its own
+    clock, so other nodes wait for the full duration of a lease.
     """
 
     node_name: str
     store: StoreClient
     timer: Timer
     node_names: Callable[[], set[str]]
-    """Names of the known nodes, for the order of candidates."""
+    """Returns the names of the known nodes, which give the order of candidates."""
     is_leaving: Callable[[], bool]
-    ask: Callable[[str], Awaitable[HolderNews | None]] | None = None
-    """Asks a node for its renewals, which costs no call to the store; returns None
-    where it doesn't answer."""
+    query_holder: Callable[[str], Awaitable[HolderNews | None]] | None = None
+    """Queries a node for the state of the lease without a call to the store; returns
+    None if the node does not answer."""
     epoch_base: int = 0
-    """Made of the row's version at this node's last renewal; epochs that are derived
-    from it are higher than those of every earlier holder."""
+    """Derived from the row's version at this node's last renewal. Epochs derived from
+    it are higher than those of every earlier holder."""
     fencing_token: int = 0
-    """Made of the row's version when this node last became the holder: the same for
-    the whole of its term, and above that of every earlier holder."""
+    """Derived from the row's version when this node last became the holder. It stays
+    the same for the whole term and is higher than that of every earlier holder."""
     _version: StoreVersion = ABSENT
-    _seen_s: float = -math.inf
+    _version_seen_s: float = -math.inf
     _valid_until_s: float = -math.inf
-    _renewed: StoreVersion = ABSENT
-    """The row's version at this node's last renewal."""
+    _renewed_version: StoreVersion = ABSENT
+    """Version of the row at this node's last renewal."""
     _renewed_until_s: float = -math.inf
-    """Until when nobody else can have taken over from that renewal."""
+    """Time until which no other node can have taken over after that renewal."""
     _was_holder: bool = False
     _holder: str = ""
-    """The node that had the lease at the last look."""
+    """Node that held the lease at the last poll."""
     _acquired: asyncio.Event = attrs.field(factory=asyncio.Event)
     is_first_holder: bool = False
-    """Whether nobody had ever had the lease when this node took it."""
+    """Whether no node had ever held the lease when this node acquired it."""
 
     @property
     def version(self) -> StoreVersion:
-        """The row's version as this node knows it."""
+        """Version of the row that this node knows."""
         return self._version
 
     def is_held(self) -> bool:
@@ -126,140 +128,152 @@
         return self.timer.now_s() < self._valid_until_s
 
     async def until_held(self) -> None:
-        """Wait until this node may plan; whoever never does is never woken."""
+        """Wait until this node may plan, which may never happen."""
         while not self.is_held():
             self._acquired.clear()
             await self._acquired.wait()
 
     async def run(self) -> None:
-        """Renew, or look and take over, until cancelled."""
-        await self._begin()
+        """Renew the lease, or poll it and take over, until cancelled."""
+        await self._wait_for_nodes()
         while True:
             if self.is_held():
                 await self._renew()
-                await self.timer.sleep(RENEW_S)
+                await self.timer.sleep(RENEW_INTERVAL_S)
             else:
-                self._note_loss()
+                self._record_loss()
                 if not await self._holder_renews():
-                    await self._look()
-                # Who has just taken over renews soon, however rarely it had to look.
-                look_s = self.timer.jittered(self._look_interval_s())
-                await self.timer.sleep(RENEW_S if self.is_held() else look_s)
-
-    async def _begin(self) -> None:
-        """Wait for the names of the other nodes, and for longer behind many of them."""
-        if self.ask is None:
+                    await self._poll()
+                # A node that has just taken over must renew soon, even if its poll
+                # interval is long.
+                poll_interval_s = self.timer.jittered(self._poll_interval_s())
+                await self.timer.sleep(
+                    RENEW_INTERVAL_S if self.is_held() else poll_interval_s
+                )
+
+    async def _wait_for_nodes(self) -> None:
+        """Wait for the names of the other nodes before the first poll.
+
+        A node behind the start candidates waits for one poll interval more.
+        """
+        if self.query_holder is None:
             return
-        began_s = self.timer.now_s()
-        while not self.node_names() and self.timer.now_s() - began_s < NODES_AFTER_S:
-            await self.timer.sleep(NODES_LOOK_S)
-        if self._rank() >= START_CANDIDATES:
-            await self.timer.sleep(self.timer.jittered(self._look_interval_s()))
+        started_s = self.timer.now_s()
+        while (
+            not self.node_names() and self.timer.now_s() - started_s < NODES_TIMEOUT_S
+        ):
+            await self.timer.sleep(NODES_POLL_INTERVAL_S)
+        if self._rank() >= START_CANDIDATE_COUNT:
+            await self.timer.sleep(self.timer.jittered(self._poll_interval_s()))
 
     def _rank(self) -> int:
-        """Return how many known nodes come before this one."""
+        """Return how many known nodes sort before this one."""
         return sum(name < self.node_name for name in self.node_names())
 
-    def _look_interval_s(self) -> float:
+    def _poll_interval_s(self) -> float:
         rank = self._rank()
-        often = CANDIDATES if self._version.number else START_CANDIDATES
-        if rank < often:
-            return CANDIDATE_LOOK_S
-        return max(OTHER_LOOK_S, LOOK_S_PER_RANK * rank)
+        frequent_count = (
+            CANDIDATE_COUNT if self._version.number else START_CANDIDATE_COUNT
+        )
+        if rank < frequent_count:
+            return CANDIDATE_POLL_INTERVAL_S
+        return max(MIN_OTHER_POLL_INTERVAL_S, POLL_INTERVAL_PER_RANK_S * rank)
 
-    def _note_loss(self) -> None:
+    def _record_loss(self) -> None:
         if self._was_holder:
             self._was_holder = False
             metrics.PLANNER_LEADER.set(0)
             log_event("planner_lost", version=str(self._version))
 
     async def _holder_renews(self) -> bool:
-        """Return whether the holder says that it goes on renewing.
+        """Return whether the holder reports that it still renews the lease.
 
-        Its word only postpones the next look at the store: who takes over replaces
-        the version that it knows, and fails if there is a newer one.
+        The report only postpones the next poll of the store. A node that takes over
+        replaces the version it knows, which fails if a newer version exists.
         """
-        if self.ask is None or self._holder in ("", self.node_name):
+        if self.query_holder is None or self._holder in ("", self.node_name):
             return False
-        news = await self.ask(self._holder)
-        if news is None or not news.is_holder:
+        status = await self.query_holder(self._holder)
+        if status is None or not status.is_holder:
             return False
         now_s = self.timer.now_s()
-        if news.version > self._version:
-            self._version = news.version
-            self._seen_s = now_s
-        return now_s - self._seen_s < LEASE_S
+        if status.version > self._version:
+            self._version = status.version
+            self._version_seen_s = now_s
+        return now_s - self._version_seen_s < LEASE_DURATION_S
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         page = await self.store.read(LEASE_TABLE, limit=1, timeout_s=CALL_TIMEOUT_S)
         if page.is_err() or self.is_leaving():
             return
         found = _LeaseRow.from_page(page.unwrap())
         now_s = self.timer.now_s()
-        if found.version != self._version or self._seen_s == -math.inf:
+        if found.version != self._version or self._version_seen_s == -math.inf:
             self._version = found.version
-            self._seen_s = now_s
-        expired = now_s - self._seen_s >= LEASE_S
+            self._version_seen_s = now_s
+        expired = now_s - self._version_seen_s >= LEASE_DURATION_S
         self._holder = found.holder or ""
-        # An earlier start of this very node can't plan any more.
+        # A row with this node's own name is from its previous run, which no longer
+        # plans.
         is_free = found.is_current and found.holder in ("", self.node_name)
-        if expired or is_free or self._may_go_on(found):
+        if expired or is_free or self._may_resume(found):
             await self._write("taken")
 
-    def _may_go_on(self, found: _LeaseRow) -> bool:
-        """Return whether a row is a copy of this node's own while that still holds."""
-        own = self._renewed
+    def _may_resume(self, found: _LeaseRow) -> bool:
+        """Return whether a row is an older copy of this node's own valid lease."""
+        own = self._renewed_version
         is_copy = found.holder == self.node_name and found.version.number <= own.number
         return self.timer.now_s() < self._renewed_until_s and is_copy
 
     async def _renew(self) -> None:
         await self._write("renewed")
 
-    async def _write(self, what: str) -> None:
+    async def _write(self, transition: str) -> None:
         sent_s = self.timer.now_s()
         replaced = self._version
-        value = _value(self.node_name, replaced.generation)
+        value = _row_value(self.node_name, replaced.generation)
         written = await self.store.write(
             {LEASE_ROW: replaced}, {LEASE_ROW: value}, timeout_s=CALL_TIMEOUT_S
         )
         if written.is_err():
-            # The write may take effect later; the next look shows its version, and
-            # then this node waits like any other.
+            # The write may still take effect later. The next poll then shows its
+            # version, and this node waits like any other node.
             if written.unwrap_err().code is ResultCode.STORE_CONFLICT:
-                self._lost_race(())
+                self._handle_conflict(())
             return
         result = written.unwrap()
         if not result.is_committed:
-            self._lost_race(result.conflicts)
+            self._handle_conflict(result.conflicts)
             return
         if result.version.generation != replaced.generation:
-            # The number was given out again: what it replaced is not known.
-            self._lost_race((Row(LEASE_ROW, result.version, value),))
+            # The store was restored and reused the number, so it is unknown which
+            # row the write replaced.
+            self._handle_conflict((Row(LEASE_ROW, result.version, value),))
             return
-        self._version = self._renewed = result.version
-        self.epoch_base = _term(result.version)
-        self._seen_s = self.timer.now_s()
-        self._valid_until_s = sent_s + LEASE_S - MARGIN_S
+        self._version = self._renewed_version = result.version
+        self.epoch_base = _ordinal(result.version)
+        self._version_seen_s = self.timer.now_s()
+        self._valid_until_s = sent_s + LEASE_DURATION_S - SAFETY_MARGIN_S
         self._renewed_until_s = self._valid_until_s
         self._acquired.set()
         if not self._was_holder:
             self._was_holder = True
-            self.fencing_token = _term(result.version)
+            self.fencing_token = _ordinal(result.version)
             self.is_first_holder = replaced.number == 0
             metrics.PLANNER_LEADER.set(1)
-            log_event("planner_became", version=str(result.version), how=what)
+            log_event("planner_became", version=str(result.version), how=transition)
 
-    def _lost_race(self, conflicts: tuple[Row, ...]) -> None:
+    def _handle_conflict(self, conflicts: tuple[Row, ...]) -> None:
         self._holder = ""
         self._valid_until_s = -math.inf
         self._version = next((row.version for row in conflicts), ABSENT)
-        self._seen_s = self.timer.now_s()
+        self._version_seen_s = self.timer.now_s()
 
-    def superseded(self) -> None:
-        """Stop planning: a backend server has seen a higher fencing token.
+    def step_down(self) -> None:
+        """Stop planning because a backend server has seen a higher fencing token.
 
-        Only the store tells who the holder is. If it is still this node, its next
-        term has a higher token.
+        Only the store determines the holder. If it is still this node, its next term
+        has a higher token.
         """
         if not self.is_held():
             return
@@ -267,11 +281,11 @@
         log_event("planner_superseded", fencing_token=self.fencing_token)
 
     async def release(self) -> None:
-        """Give the lease up, so that another node takes over at once."""
+        """Give up the lease, so that another node can take over immediately."""
         if not self.is_held():
             return
         self._valid_until_s = self._renewed_until_s = -math.inf
-        value = _value("", self._version.generation)
+        value = _row_value("", self._version.generation)
         await self.store.write(
             {LEASE_ROW: self._version}, {LEASE_ROW: value}, timeout_s=CALL_TIMEOUT_S
         )
@@ -280,26 +294,29 @@
 
 @attrs.frozen
 class _LeaseRow:
-    """The lease's row as it was read."""
+    """The lease row as read from the store."""
 
     version: StoreVersion
-    """Its number is 0 where there is no row."""
+    """The number is 0 if there is no row."""
     holder: str | None
-    """Empty where nobody has the lease; None where that can't be read."""
+    """Empty if no node holds the lease; None if the row cannot be decoded."""
     is_current: bool
-    """Whether who has written it knew of the store's present generation: it then
-    tells who had the lease last."""
+    """Whether the row was written in the store's present generation. Only then does it
+    show the last holder."""
 
     @classmethod
     def from_page(cls, page: RowPage) -> _LeaseRow:
-        """Return the row in a page of the lease's table."""
+        """Return the row in a page of the lease table."""
         row = next(iter(page.rows), None)
         generation = page.version.generation
         if row is None:
             return cls(StoreVersion(generation, 0), "", generation == 0)
         try:
             fields = json.loads(row.value)
-            holder, written_in = str(fields["holder"]), fields.get("generation", 0)
+            holder, generation_written = (
+                str(fields["holder"]),
+                fields.get("generation", 0),
+            )
         except (
             ValueError,
             KeyError,
@@ -309,14 +326,17 @@
         ) as error:
             log_event("lease_unreadable", error=repr(error))
             return cls(row.version, None, is_current=False)
-        return cls(row.version, holder, written_in == generation)
+        return cls(row.version, holder, generation_written == generation)
 
 
-def _value(holder: str, generation: int) -> bytes:
-    """Return the value of the lease's row."""
+def _row_value(holder: str, generation: int) -> bytes:
+    """Return the encoded value of the lease row."""
     return json.dumps({"holder": holder, "generation": generation}).encode()
 
 
-def _term(version: StoreVersion) -> int:
-    """Return a number that is higher than that of every earlier version."""
-    return version.generation * TERMS_PER_GENERATION + version.number
+def _ordinal(version: StoreVersion) -> int:
+    """Return a number that is higher than that of every earlier version.
+
+    It also rises when a restored store starts a new generation with lower numbers.
+    """
+    return version.generation * VERSIONS_PER_GENERATION + version.number
--- a/packages/placement/src/fordhatch/placement/_staging.py
+++ b/packages/placement/src/fordhatch/placement/_staging.py
@@ -1,4 +1,4 @@
-"""Stages weights on hosts, so that later groups form without loads."""
+"""Preloads weights into host memory, so that later groups form without loads."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from ._layout import Layout, by_domain
 from ._load_budget import LoadBudget
-from ._order_desk import OrderDesk
+from ._order_sender import OrderSender
 
-LATE_FACTOR = 3.0
-"""A load that is not seen to be done after this many times its duration is taken for
-lost; loads slow each other down."""
+LOAD_TIMEOUT_FACTOR = 3.0
+"""A load counts as lost if it is not reported as done after this multiple of its
+duration. Concurrent loads slow each other down."""
 
 
 @attrs.define
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class _Wish:
+class _LoadProposal:
     """A load that would be useful."""
 
     backend: BackendServer
@@ -36,9 +36,9 @@
 
 @attrs.define(eq=False, repr=False)
 class Staging:
-    """Loads of weights onto hosts that are under way."""
+    """Orders loads of weights into host memory and tracks those in progress."""
 
-    desk: OrderDesk
+    order_sender: OrderSender
     loads: LoadBudget
     timer: Timer
     _active: dict[str, _Load] = attrs.field(factory=dict)
@@ -54,29 +54,32 @@
         """Order the loads that are useful and allowed now.
 
         Args:
-            layout: The groups that there are.
+            layout: The existing groups.
             free: Backend servers that are in no group; they come first.
-            grouped: Backend servers in groups; staging another model there lets
-                them change over when the need changes.
-            are_loads_free: Nothing serves yet, and loads are quick and not counted.
+            grouped: Backend servers in groups. Staging another model there lets them
+                change models when the need changes.
+            are_loads_free: Whether no group serves yet, so that loads are quick and
+                not limited.
         """
-        wishes = [
-            wish
+        proposals = [
+            proposal
             for backends in by_domain(free).values()
-            for wish in self._wishes(layout, backends)
+            for proposal in self._proposals(layout, backends)
         ]
-        # Loads beyond those that fit at once slow all others down, so that no group
-        # would be complete for long: the most useful go first, one after the other.
-        for wish in sorted(wishes, key=lambda w: w.value, reverse=True):
+        # Loads beyond the supported concurrency slow down all others, and no group
+        # would be complete for a long time. Start the most useful ones first.
+        for proposal in sorted(proposals, key=lambda p: p.value, reverse=True):
             if are_loads_free or len(self._active) < layout.profile.loads_at_once:
-                self._order(layout.profile, wish.backend, wish.model, are_loads_free)
+                self._order(
+                    layout.profile, proposal.backend, proposal.model, are_loads_free
+                )
         for backend in grouped:
-            self._stage_other(layout, backend, are_loads_free)
+            self._stage_second_model(layout, backend, are_loads_free)
 
     def _useful_models(
         self, layout: Layout, backend: BackendServer
     ) -> list[ModelProfile]:
-        """Return the models to load whose groups the domain is large enough for."""
+        """Return the models that are not loaded and whose groups fit the domain."""
         return [
             m
             for m in layout.profile.models
@@ -84,12 +87,12 @@
             and layout.domain_sizes[backend.domain] >= m.size
         ]
 
-    def forget_done(self, backends: Iterable[BackendServer]) -> None:
-        """Forget the loads that are done, or whose backend servers are gone.
+    def discard_finished(self, backends: Iterable[BackendServer]) -> None:
+        """Forget the loads that are done, or whose backend servers are lost.
 
         Args:
-            backends: Every backend server that may be loading, also those that
-                belong to no group and are not free either.
+            backends: Every backend server that may be loading, including those that
+                are neither in a group nor free.
         """
         staged = {b.backend_id: b.staged_models for b in backends}
         now_s = self.timer.now_s()
@@ -98,8 +101,10 @@
             if done or load.until_s < now_s:
                 del self._active[backend_id]
 
-    def _wishes(self, layout: Layout, backends: list[BackendServer]) -> list[_Wish]:
-        """Return the loads that bring free backend servers of a domain to a group."""
+    def _proposals(
+        self, layout: Layout, backends: list[BackendServer]
+    ) -> list[_LoadProposal]:
+        """Return the loads that help free backend servers of a domain form a group."""
         prepared = {
             model.name: sum(self._is_prepared(layout, b, model) for b in backends)
             for model in layout.profile.models
@@ -107,7 +112,7 @@
         found = []
         for backend in backends:
             if backend.backend_id not in self._active:
-                found.extend(self._best_wish(layout, backend, prepared))
+                found.extend(self._best_proposal(layout, backend, prepared))
         return found
 
     def _is_prepared(
@@ -115,21 +120,23 @@
     ) -> bool:
         return not layout.must_load(backend, model) or self._is_loading(backend, model)
 
-    def _best_wish(
+    def _best_proposal(
         self, layout: Layout, backend: BackendServer, prepared: dict[str, int]
-    ) -> list[_Wish]:
-        """Return the most useful load for one that does not load and lacks models."""
-        wishes = []
+    ) -> list[_LoadProposal]:
+        """Return the most useful load for a backend server as a list of at most one."""
+        proposals = []
         for model in self._useful_models(layout, backend):
             lacking = max(model.size - prepared[model.name], 1)
-            wishes.append(_Wish(backend, model, layout.need(model) / lacking))
-        return sorted(wishes, key=lambda w: w.value)[-1:]
+            proposals.append(
+                _LoadProposal(backend, model, layout.need(model) / lacking)
+            )
+        return sorted(proposals, key=lambda p: p.value)[-1:]
 
     def _is_loading(self, backend: BackendServer, model: ModelProfile) -> bool:
         load = self._active.get(backend.backend_id)
         return load is not None and load.model == model.name
 
-    def _stage_other(
+    def _stage_second_model(
         self, layout: Layout, backend: BackendServer, are_loads_free: bool
     ) -> None:
         profile = layout.profile
@@ -137,13 +144,14 @@
             return
         if not are_loads_free and len(self._active) >= profile.loads_at_once:
             return
-        others = self._useful_models(layout, backend)
+        candidates = self._useful_models(layout, backend)
         known = layout.last_model.get(backend.backend_id)
-        if not others or known is None:
+        if not candidates or known is None:
             return
-        wanted = max(others, key=layout.need)
+        wanted = max(candidates, key=layout.need)
         has_other = any(m != known for m in backend.staged_models)
-        # A host whose own model is no longer declared takes what is lacking instead.
+        # If the host's current model is no longer declared, load a model that lacks
+        # groups even if another one is already staged.
         is_retired = profile.model(known) is None
         if has_other and not (is_retired and layout.lacks(wanted)):
             return
@@ -158,12 +166,14 @@
     ) -> None:
         if not are_loads_free and not self.loads.take(profile.loads_per_s, 1):
             return
-        until_s = self.timer.now_s() + LATE_FACTOR * model.load_s
+        until_s = self.timer.now_s() + LOAD_TIMEOUT_FACTOR * model.load_s
         self._active[backend.backend_id] = _Load(model.name, until_s)
         log_event("staging", backend=backend.backend_id, model=model.name)
         order = GroupOrder(OrderKind.STAGE, model=model.name)
-        self.desk.send(backend, order, again_s=LATE_FACTOR * model.load_s)
+        self.order_sender.send(
+            backend, order, resend_interval_s=LOAD_TIMEOUT_FACTOR * model.load_s
+        )
 
     def forget(self) -> None:
-        """Forget what is under way; another planner goes on."""
+        """Forget the loads in progress, because another planner takes over."""
         self._active.clear()
