--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -76,7 +76,7 @@
         "placement/_dissolutions.py",
         "any(head.born_ms and b.born_ms > head.born_ms for b in others)",
         "bool(others)",
-        "packages/placement/tests/test_planner.py -k proves_no_end",
+        "packages/placement/tests/test_planner.py -k prove_termination",
     ),
     Guard(
         "restart: the newest group's record names a place",
--- a/bench/store_guards.py
+++ b/bench/store_guards.py
@@ -5,7 +5,7 @@
 from guards_types import Guard
 
 RETURNS = "standins/tests/test_store_comes_back_older.py"
-LEASES = "packages/placement/tests/test_lease_over_returns.py"
+LEASES = "packages/placement/tests/test_lease_over_restores.py"
 ENTRIES = "packages/registry/tests/test_older_entries.py"
 CLAIMS = "packages/daemon/tests/test_at_most_once.py"
 COPIES = "packages/registry/tests/test_table_copy.py"
@@ -51,7 +51,7 @@
         "placement/_planner_lease.py",
         "        if result.version.generation != replaced.generation:\n",
         "        if False:\n",
-        f"{LEASES} -k given_out_twice",
+        f"{LEASES} -k reused_version",
     ),
     Guard(
         "return of an older store: whoever held the lease is waited out",
@@ -65,7 +65,7 @@
         "placement/_planner_lease.py",
         "or self._may_resume(found):",
         "or False:",
-        f"{LEASES} -k short_return",
+        f"{LEASES} -k short_restore",
     ),
     Guard(
         "return of an older store: who serves goes on until it writes again",
--- a/packages/placement/tests/planning_site.py
+++ b/packages/placement/tests/planning_site.py
@@ -1,4 +1,4 @@
-"""A site of engines, store and planners on a virtual clock."""
+"""A test site of engines, a store and planners on a virtual clock."""
 
 from __future__ import annotations
 
@@ -65,6 +65,7 @@
 
 
 def engine_configuration() -> bytes:
+    """Return the encoded configuration of one service with two models."""
     models = [
         {
             "name": name,
@@ -94,7 +95,7 @@
 
 @attrs.define(eq=False, repr=False)
 class PlanningNode:
-    """The parts of a node that plan."""
+    """The planning components of a node."""
 
     name: str
     store: MemoryStoreClient
@@ -107,6 +108,7 @@
 
     @classmethod
     def start(cls, site: Site, name: str, *, is_first_start: bool) -> PlanningNode:
+        """Build a node and run its lease and planner."""
         timer = Timer.from_seed(name)
         store = MemoryStoreClient(site.store, name)
         backends = MemoryBackendClient(site.fleet)
@@ -131,7 +133,7 @@
         return node
 
     async def kill(self) -> None:
-        """End without a word."""
+        """Stop without releasing the lease."""
         await self._tasks.close()
         await self.planner.close()
         await self.view.close()
@@ -155,16 +157,17 @@
         return self.nodes[name]
 
     def planner(self) -> PlanningNode | None:
-        """Return the node that has the lease; there is never more than one."""
+        """Return the node that holds the lease; assert that there is at most one."""
         holders = [n for n in self.nodes.values() if n.lease.is_held()]
         assert len(holders) <= 1, [n.name for n in holders]
         return holders[0] if holders else None
 
     def working(self) -> int:
+        """Return the number of groups that serve."""
         return sum(self.fleet.working_groups().values())
 
     async def until(self, holds: Callable[[], bool], limit_s: float) -> float:
-        """Wait until something holds; returns how long that took."""
+        """Wait until a condition holds, and return how long that took in seconds."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         while not holds():
@@ -174,13 +177,13 @@
         return loop.time() - began_s
 
     def check(self) -> None:
-        """Assert what must hold at all times."""
+        """Assert the invariants that hold at all times."""
         self.planner()
         self.fleet.check_serving()
         assert not self.fleet.violations, self.fleet.violations
 
     async def watch(self, duration_s: float) -> None:
-        """Let time pass and check all the while."""
+        """Let time pass while checking the invariants."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         while loop.time() < end_s:
@@ -195,7 +198,7 @@
 def play(scenario: Callable[[Site], Awaitable[None]], seed: int = 1) -> None:
     """Run a scenario on a virtual clock."""
 
-    async def whole() -> None:
+    async def run_and_check() -> None:
         site = Site(random.Random(seed))
         try:
             await scenario(site)
@@ -203,14 +206,14 @@
         finally:
             await site.close()
 
-    run_in_virtual_time(whole())
+    run_in_virtual_time(run_and_check())
 
 
 async def standard_site(site: Site, domains: int = 2, nodes: int = 2) -> None:
-    """Start nodes and full domains of eight, and wait for their groups.
+    """Start nodes and full domains of eight engines, and wait for their groups.
 
-    Everything has settled afterwards, hosts have their weights staged, and loads
-    count from now on.
+    Afterwards the site is stable, weights are staged on all hosts, and loads count
+    against the limit.
     """
     for index in range(domains * 8):
         site.fleet.add(f"d{index // 8}")
@@ -222,6 +225,7 @@
 
 
 def engines_of(site: Site, model: str) -> list[EngineModel]:
+    """Return the running engines in groups of a model."""
     return [
         e
         for e in site.fleet.engines.values()
@@ -230,5 +234,6 @@
 
 
 def head_and_member(site: Site, model: str) -> tuple[EngineModel, EngineModel]:
+    """Return the head of a group of a model and the member of rank 1."""
     head = next(e for e in engines_of(site, model) if e.place.rank == 0)
     return head, site.fleet.engines[head.place.members[1]]
--- a/packages/placement/tests/test_lease_over_returns.py
+++ b/packages/placement/tests/test_lease_over_restores.py
@@ -1,4 +1,4 @@
-"""The planner's lease while the store comes back from an older copy."""
+"""The planner's lease when the store is restored from a backup."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from fordhatch.core import TaskSet, Timer
 from fordhatch.placement import PlannerLease
-from fordhatch.placement._planner_lease import LEASE_ROW, LEASE_S
+from fordhatch.placement._planner_lease import LEASE_DURATION_S, LEASE_ROW
 from fordhatch_lab import run_in_virtual_time
 
 LOST_RENEWALS = 8
-"""Renewals of the lease that the copy does not have."""
+"""Number of lease renewals that are missing in the restored copy."""
 
 
 class Leases:
-    """Nodes that would plan, and the store between them."""
+    """Leases of several nodes that compete for the planner role in one store."""
 
     def __init__(self, *names: str) -> None:
         self.model = StoreModel()
@@ -33,7 +33,7 @@
         self._tasks.spawn(self.leases[name].run(), name)
 
     def freeze(self, name: str) -> None:
-        """No call of a node ends from now on; its clock goes on."""
+        """Let no store call of a node return from now on; its clock still runs."""
         self.clients[name].is_frozen = True
 
     def holders(self) -> list[str]:
@@ -43,7 +43,7 @@
         return self.model.rows[LEASE_ROW.table, "", LEASE_ROW.key].version
 
     async def watch(self, duration_s: float) -> None:
-        """Let time pass; nobody holds the lease beside another one, and tokens rise."""
+        """Let time pass; assert that there is at most one holder and tokens rise."""
         end_s = asyncio.get_running_loop().time() + duration_s
         while asyncio.get_running_loop().time() < end_s:
             holders = self.holders()
@@ -64,17 +64,17 @@
 
 
 def run(scenario: Callable[[Leases], Awaitable[None]]) -> None:
-    async def whole() -> None:
+    async def run_and_check() -> None:
         leases = Leases("n0", "n1")
         try:
             await scenario(leases)
         finally:
             await leases.close()
 
-    run_in_virtual_time(whole())
+    run_in_virtual_time(run_and_check())
 
 
-def test_tokens_and_epochs_rise_over_a_return() -> None:
+def test_tokens_and_epochs_rise_over_a_restore() -> None:
     async def scenario(leases: Leases) -> None:
         leases.begin("n0")
         await leases.watch(1.0)
@@ -91,7 +91,7 @@
     run(scenario)
 
 
-def test_a_short_return_leaves_the_planner_where_it_is() -> None:
+def test_a_short_restore_keeps_the_holder() -> None:
     async def scenario(leases: Leases) -> None:
         for name in leases.leases:
             leases.begin(name)
@@ -108,9 +108,9 @@
     run(scenario)
 
 
-def test_a_number_given_out_twice_makes_no_second_holder() -> None:
-    """Pattern: another holder's row has the number that this one knows, and its
-    renewal finds that the store has come back."""
+def test_a_reused_version_number_makes_no_second_holder() -> None:
+    """Another holder's row has the version number that this holder knows, and the
+    renewal of this holder detects that the store was restored."""
 
     async def scenario(leases: Leases) -> None:
         first = leases.leases["n0"]
@@ -127,15 +127,15 @@
             await leases.watch(0.005)
         await leases.watch(0.05)
         assert not first.is_held()
-        await leases.watch(LEASE_S - 0.1)
+        await leases.watch(LEASE_DURATION_S - 0.1)
         assert not first.is_held()
 
     run(scenario)
 
 
-def test_a_renewal_that_is_done_after_the_return_makes_no_second_holder() -> None:
-    """Pattern: as before, but the renewal was sent before the return, and is done
-    seconds later under a number that was given out again."""
+def test_a_renewal_that_completes_after_a_restore_makes_no_second_holder() -> None:
+    """As before, but the renewal is sent before the restore and takes effect seconds
+    later under a reused version number."""
 
     async def scenario(leases: Leases) -> None:
         first, second = leases.leases["n0"], leases.leases["n1"]
@@ -145,7 +145,7 @@
         await leases.watch(0.45 * LOST_RENEWALS)
         number = first.version.number
         leases.model.faults.late_writes = 1
-        leases.model.faults.late_write_s = 2 * LEASE_S
+        leases.model.faults.late_write_s = 2 * LEASE_DURATION_S
         while leases.model.faults.late_writes:
             await leases.watch(0.01)
         leases.freeze("n0")
@@ -166,8 +166,8 @@
     run(scenario)
 
 
-def test_a_copy_without_a_holder_is_waited_out() -> None:
-    """Whoever held the lease, and was lost from it, may still go by its own clock."""
+def test_a_copy_without_a_holder_is_taken_over_after_the_lease_time() -> None:
+    """A holder that is missing in the copy may still plan until its lease expires."""
 
     async def scenario(leases: Leases) -> None:
         copy = leases.model.copy()
@@ -182,8 +182,8 @@
     run(scenario)
 
 
-def test_groups_outlast_a_return_and_a_new_planner() -> None:
-    """None is taken apart or formed twice because the store forgot it."""
+def test_groups_survive_a_restore_and_a_new_planner() -> None:
+    """No group is dissolved or formed twice because the restored store lacks it."""
 
     async def scenario(site: Site) -> None:
         for name in ("n0", "n1"):
--- a/packages/placement/tests/test_planner.py
+++ b/packages/placement/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Whole planners against engines in memory; the fleet checks every order."""
+"""Complete planners with in-memory engines; the fleet checks every order."""
 
 from __future__ import annotations
 
@@ -36,14 +36,15 @@
     play(scenario)
 
 
-def test_members_of_a_dark_head_wait_until_it_must_be_broken() -> None:
+def test_members_of_an_unreachable_head_wait_until_it_must_be_broken() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         spare = site.fleet.add("d0")
         spare.staged = ["small"]
         site.fleet._publish(spare)
         head, member = head_and_member(site, "small")
-        # Cut off from store and nodes, but alive: its callers may still reach it.
+        # The head is cut off from the store and the nodes but runs on, so its callers
+        # may still reach it.
         site.fleet.cut_from_store(head)
         head.address = "nowhere:1"
         old = member.place.group
@@ -56,8 +57,8 @@
 
 
 @attrs.define
-class LosesOrders:
-    """Reaches all backend servers, but loses orders to one of them."""
+class OrderLosingClient:
+    """A client that reaches all backend servers but loses the orders to one of them."""
 
     backends: MemoryBackendClient
     to: str
@@ -74,14 +75,13 @@
         return await self.backends.report(address, registered_id, timeout_s=timeout_s)
 
 
-def test_an_earlier_start_that_is_listed_again_proves_no_end() -> None:
-    """Incident: a member was joined to a group while its head was still open.
+def test_a_relisted_earlier_start_does_not_prove_termination() -> None:
+    """Guards against moving a member to another group while its old head is open.
 
-    Seen: a group was given up and its members released in the same step, while its
-    head answered the order to open and served.
-    How it came about: backend servers had started again behind a cut, and entries of
-    their earlier starts were listed again, with the address of the head.
-    Cause: any other entry with a head's address counted as a later start of it.
+    Backend servers restart behind a partition, and entries of their earlier starts are
+    listed again with the address of a head. If any other entry with that address
+    counted as a later start, the group would be dissolved and its members released in
+    the same step, while the head accepts the order to open and serves.
     """
 
     async def scenario(site: Site) -> None:
@@ -94,8 +94,10 @@
         earlier = {**entry_fields("llm", head.address), "domain": head.domain}
         site.store.put(BACKENDS_TABLE, "i-earlier", json.dumps(earlier).encode())
         await site.watch(0.2)
-        desk = site.planner().planner.desk
-        desk.backends = LosesOrders(desk.backends, head.backend_id)
+        order_sender = site.planner().planner.order_sender
+        order_sender.backends = OrderLosingClient(
+            order_sender.backends, head.backend_id
+        )
         site.fleet.drain(member)
         await site.watch(6)
 
@@ -103,8 +105,8 @@
 
 
 @pytest.mark.parametrize("model", ["big", "small"])
-def test_members_that_are_only_out_of_the_planners_reach_are_not_free(model) -> None:
-    """Whoever the planner can't reach may serve others all the while."""
+def test_members_that_the_planner_cannot_reach_are_not_released(model) -> None:
+    """A backend server that the planner can't reach may still serve callers."""
 
     async def scenario(site: Site) -> None:
         await standard_site(site, nodes=1)
@@ -124,7 +126,7 @@
     play(scenario)
 
 
-def has_let_go(site: Site, group: str, but: EngineModel) -> bool:
+def have_members_left(site: Site, group: str, but: EngineModel) -> bool:
     return all(
         e.place is None or e.place.group != group
         for e in site.fleet.engines.values()
@@ -132,7 +134,7 @@
     )
 
 
-def test_a_draining_member_is_replaced_at_once_where_another_is_prepared() -> None:
+def test_a_draining_member_is_replaced_at_once_if_a_spare_is_prepared() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         _, member = head_and_member(site, "small")
@@ -142,7 +144,7 @@
         await site.watch(0.5)
         group = member.place.group
         site.fleet.drain(member)
-        await site.until(lambda: has_let_go(site, group, member), 3)
+        await site.until(lambda: have_members_left(site, group, member), 3)
         await site.until(
             lambda: spare.place is not None and spare.place.state != "joining", 4
         )
@@ -157,14 +159,14 @@
         group = member.place.group
         site.fleet.drain(member)
         await site.watch(4)
-        assert not has_let_go(site, group, member)
+        assert not have_members_left(site, group, member)
         site.fleet.kill(member)
-        await site.until(lambda: has_let_go(site, group, member), 6)
+        await site.until(lambda: have_members_left(site, group, member), 6)
 
     play(scenario)
 
 
-def test_a_draining_head_gives_its_group_up_at_once() -> None:
+def test_a_group_with_a_draining_head_is_dissolved_at_once() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         head, member = head_and_member(site, "small")
@@ -179,7 +181,7 @@
     play(scenario)
 
 
-def test_loads_run_a_few_at_a_time_so_that_groups_come_one_after_the_other() -> None:
+def test_loads_run_a_few_at_a_time_so_that_groups_form_one_by_one() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         for index in range(24):
@@ -212,7 +214,7 @@
     play(scenario)
 
 
-def test_a_planner_that_restarts_goes_on_at_once() -> None:
+def test_a_restarted_planner_resumes_at_once() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         first = site.planner()
@@ -225,7 +227,7 @@
     play(scenario)
 
 
-def test_a_new_planner_keeps_groups_that_serve_or_are_on_their_way() -> None:
+def test_a_new_planner_keeps_groups_that_serve_or_are_forming() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         groups = {
@@ -242,8 +244,8 @@
     play(scenario)
 
 
-def test_a_load_that_an_earlier_planner_began_is_not_begun_again() -> None:
-    """A member that still loads has not served the model: it is no quick member."""
+def test_a_load_started_by_an_earlier_planner_is_not_repeated() -> None:
+    """A member that still loads has not served the model and can't rejoin quickly."""
 
     async def scenario(site: Site) -> None:
         for _ in range(2):
@@ -264,7 +266,7 @@
     play(scenario)
 
 
-def test_who_still_loads_does_not_count_as_having_served() -> None:
+def test_a_member_that_still_loads_does_not_count_as_having_served() -> None:
     async def scenario(site: Site) -> None:
         for _ in range(2):
             site.fleet.add("d0")
@@ -287,20 +289,21 @@
     play(scenario)
 
 
-def test_loads_stay_below_the_ceiling_when_many_empty_engines_come() -> None:
+def test_loads_stay_below_the_ceiling_when_many_empty_engines_register() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         before = site.fleet.loads
         for index in range(64):
             site.fleet.add(f"e{index // 8}")
         await site.watch(60)
-        # Six at a time, 12 to 16 s each, and the fleet checks the ceiling throughout.
+        # Six loads run at a time and take 12 to 16 s each. The fleet checks the ceiling
+        # throughout.
         assert site.fleet.loads - before >= 18
 
     play(scenario)
 
 
-def test_an_order_that_is_carried_out_late_takes_nobody_away() -> None:
+def test_a_delayed_order_does_not_move_a_member() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         head, member = head_and_member(site, "big")
@@ -317,7 +320,7 @@
     play(scenario)
 
 
-def test_without_the_store_nothing_is_ordered() -> None:
+def test_no_orders_are_sent_during_a_store_outage() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         _, member = head_and_member(site, "small")
@@ -335,7 +338,7 @@
 
 
 def test_orders_of_a_new_holder_have_a_higher_token_and_stop_the_old_one() -> None:
-    """Pattern: a holder whose belief is wrong, as after a freeze, orders once more."""
+    """A holder that overestimates its lease, as after a freeze, sends an order."""
 
     async def scenario(site: Site) -> None:
         site.fleet.checks_fencing = True
@@ -349,11 +352,11 @@
         assert new.lease.fencing_token > token
         head, _ = head_and_member(site, "big")
         head.highest_token = new.lease.fencing_token
-        # The old holder's belief that it has the lease, made true by hand.
+        # Make the old holder consider its lease valid.
         old.lease._valid_until_s = asyncio.get_running_loop().time() + 60
         place = head.place
         backend = old.view.directory.backends[head.backend_id]
-        old.planner.desk.send(
+        old.planner.order_sender.send(
             backend, GroupOrder(OrderKind.LEAVE, place.group, place.epoch)
         )
         await asyncio.sleep(0.5)
@@ -380,7 +383,7 @@
     play(scenario)
 
 
-def test_looks_at_the_lease_hardly_grow_with_the_nodes() -> None:
+def test_lease_polls_hardly_grow_with_the_number_of_nodes() -> None:
     async def scenario(site: Site) -> None:
         for index in range(40):
             site.add_node(f"n{index:02d}")
@@ -388,7 +391,7 @@
         leases = [n.lease for n in site.nodes.values()]
         for lease in leases:
             lease.node_names = lambda: set(site.nodes)
-        rates = [1 / lease._look_interval_s() for lease in leases]
+        rates = [1 / lease._poll_interval_s() for lease in leases]
         assert sum(rates) < 2 / 0.45 + 2 * 4 + 1
         assert max(1 / rate for rate in rates[:6]) < 3
 
--- a/packages/placement/tests/test_planner_lease.py
+++ b/packages/placement/tests/test_planner_lease.py
@@ -1,4 +1,4 @@
-"""Who takes the planner's lease over keeps it, and starts of others cost no looks."""
+"""Takeover of the planner's lease, and polls of the lease by starting nodes."""
 
 from __future__ import annotations
 
@@ -13,22 +13,29 @@
 NODES = [f"n{index:02d}" for index in range(40)]
 
 
-def lease_of(name: str, store: StoreModel) -> tuple[PlannerLease, MemoryStoreClient]:
+def create_lease(
+    name: str, store: StoreModel
+) -> tuple[PlannerLease, MemoryStoreClient]:
     client = MemoryStoreClient(store, name)
 
-    async def ask(holder: str) -> HolderNews | None:
+    async def query_holder(holder: str) -> HolderNews | None:
         return None
 
     lease = PlannerLease(
-        name, client, Timer.from_seed(name), lambda: set(NODES), lambda: False, ask
+        name,
+        client,
+        Timer.from_seed(name),
+        lambda: set(NODES),
+        lambda: False,
+        query_holder,
     )
     return lease, client
 
 
-def test_a_node_far_behind_others_that_takes_over_keeps_the_lease() -> None:
+def test_a_low_ranked_node_that_takes_over_keeps_the_lease() -> None:
     async def scenario() -> None:
         store, tasks = StoreModel(), TaskSet()
-        lease, _ = lease_of("n05", store)
+        lease, _ = create_lease("n05", store)
         tasks.spawn(lease.run(), "lease")
         await lease.until_held()
         for _ in range(100):
@@ -39,25 +46,25 @@
     run_in_virtual_time(scenario())
 
 
-def test_of_many_nodes_that_start_at_once_few_look_at_the_lease() -> None:
+def test_of_many_nodes_that_start_at_once_few_poll_the_lease() -> None:
     async def scenario() -> None:
         store, tasks = StoreModel(), TaskSet()
-        leases = [lease_of(name, store) for name in NODES]
+        leases = [create_lease(name, store) for name in NODES]
         for lease, _ in leases:
             tasks.spawn(lease.run(), "lease")
         await asyncio.sleep(1.0)
         assert any(lease.is_held() for lease, _ in leases)
-        looks = sum(c.calls["read fordhatch-lease"] for _, c in leases)
-        assert looks <= 3 * 8
+        polls = sum(c.calls["read fordhatch-lease"] for _, c in leases)
+        assert polls <= 3 * 8
         await tasks.close()
 
     run_in_virtual_time(scenario())
 
 
-def test_where_the_first_nodes_are_gone_another_one_takes_over() -> None:
+def test_another_node_takes_over_if_the_first_nodes_are_missing() -> None:
     async def scenario() -> None:
         store, tasks = StoreModel(), TaskSet()
-        leases = [lease_of(name, store)[0] for name in NODES[10:]]
+        leases = [create_lease(name, store)[0] for name in NODES[10:]]
         for lease in leases:
             tasks.spawn(lease.run(), "lease")
         await asyncio.sleep(10.0)
--- a/packages/placement/tests/test_random_troubles.py
+++ b/packages/placement/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Whole planners under random troubles; the fleet checks every order."""
+"""Complete planners under random faults; the fleet checks every order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from planning_site import Site, play, standard_site
 
-KINDS = [
+FAULT_KINDS = [
     "kill",
     "kill",
     "kill",
@@ -26,13 +26,16 @@
 @pytest.mark.parametrize(
     ("seed", "checks_fencing"), [(0, False), (1, False), (2, False), (1, True)]
 )
-def test_random_troubles_never_break_the_rules(seed: int, checks_fencing: bool) -> None:
-    """Losses, drains, cuts, late and lost orders, dying planners, store outages."""
+def test_random_faults_never_violate_invariants(
+    seed: int, checks_fencing: bool
+) -> None:
+    """Inject losses, drains, partitions, late and lost orders, planner crashes and
+    store outages."""
 
-    async def trouble(site: Site, step: int) -> None:
+    async def inject_fault(site: Site, step: int) -> None:
         rng = site.rng
         living = [e for e in site.fleet.engines.values() if not e.is_dead]
-        kind = rng.choice(KINDS)
+        kind = rng.choice(FAULT_KINDS)
         match kind:
             case "kill":
                 site.fleet.kill(rng.choice(living))
@@ -63,7 +66,7 @@
         site.fleet.checks_fencing = checks_fencing
         await standard_site(site, domains=4, nodes=3)
         for step in range(25):
-            await trouble(site, step)
+            await inject_fault(site, step)
             await site.watch(site.rng.uniform(0.2, 3.0))
         site.fleet.faults.late_share = site.fleet.faults.lost_share = 0.0
         await site.watch(25)
--- a/packages/placement/tests/test_staging.py
+++ b/packages/placement/tests/test_staging.py
@@ -1,3 +1,5 @@
+"""Staging of weights on backend servers."""
+
 from __future__ import annotations
 
 import attrs
@@ -10,8 +12,8 @@
 
 
 @attrs.define
-class NotedOrders:
-    """Takes the place of the order desk."""
+class RecordingOrderSender:
+    """Records orders in place of the order sender."""
 
     sent: list[tuple[str, str]] = attrs.field(factory=list)
 
@@ -20,19 +22,20 @@
         return True
 
 
-async def test_a_load_on_a_reserved_backend_is_not_begun_again() -> None:
+async def test_a_load_on_a_reserved_backend_is_not_repeated() -> None:
     timer = Timer.from_seed(1)
-    orders = NotedOrders()
-    staging = Staging(orders, LoadBudget(timer, 5.0), timer)
+    order_sender = RecordingOrderSender()
+    staging = Staging(order_sender, LoadBudget(timer, 5.0), timer)
     empty = [backend(n) for n in "abcd"]
     layout = Layout(PROFILE, {})
     layout.count_backends(empty)
     staging.step(layout, empty, [], are_loads_free=False)
-    first = list(orders.sent)
+    first = list(order_sender.sent)
     assert first
-    # A conversion reserves the domain for a moment: nobody there is free or grouped.
-    staging.forget_done(empty)
+    # A conversion reserves the domain for a moment, so that none of its backend
+    # servers is free or grouped.
+    staging.discard_finished(empty)
     staging.step(layout, [], [], are_loads_free=False)
-    staging.forget_done(empty)
+    staging.discard_finished(empty)
     staging.step(layout, empty, [], are_loads_free=False)
-    assert len({name for name, _ in orders.sent}) == len(orders.sent)
+    assert len({name for name, _ in order_sender.sent}) == len(order_sender.sent)
--- a/packages/placement/tests/test_suspended_planner.py
+++ b/packages/placement/tests/test_suspended_planner.py
@@ -1,4 +1,4 @@
-"""Pattern: the machine of the planner is suspended, and others plan meanwhile."""
+"""Suspension of the planner's machine, during which another node becomes planner."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class Machine:
-    """Only its clock since the start goes on while it is suspended."""
+    """A machine of which only the boot-time clock advances during a suspension."""
 
     suspended_s: float = 0.0
 
@@ -25,7 +25,7 @@
         return machine
 
 
-def test_a_lease_that_ran_out_in_a_suspension_is_not_held() -> None:
+def test_a_lease_that_expired_during_a_suspension_is_not_held() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         planner = site.planner()
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_groups_outlive_suspensions_of_any_node(seed: int) -> None:
+def test_groups_survive_suspensions_of_any_node(seed: int) -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, nodes=3)
         before = site.working()
