--- a/packages/placement/src/fordhatch/placement/_planner.py
+++ b/packages/placement/src/fordhatch/placement/_planner.py
@@ -248,8 +248,8 @@
         kept: list[ReplicaGroup] = []
         # Groups of models that are no longer declared come last, because the counts
         # of the declared models decide whether they are still needed.
-        declared = sorted(groups.values(), key=lambda g: not _is_declared(service, g))
-        for group in declared:
+        ordered = sorted(groups.values(), key=lambda g: not _is_declared(service, g))
+        for group in ordered:
             key = group.key
             if key in self.dissolutions.released:
                 continue
--- a/packages/placement/tests/test_planner.py
+++ b/packages/placement/tests/test_planner.py
@@ -338,7 +338,7 @@
 
 
 def test_orders_of_a_new_holder_have_a_higher_token_and_stop_the_old_one() -> None:
-    """A holder that overestimates its lease, as after a freeze, sends an order."""
+    """A holder that did not notice the loss of its lease sends an order and stops."""
 
     async def scenario(site: Site) -> None:
         site.fleet.checks_fencing = True
