--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -187,7 +187,7 @@
     ),
     Guard(
         "PARTIAL: a head is opened when every member is ready",
-        "placement/_groups_seen.py",
+        "placement/_group_status.py",
         "    if states == {MemberState.READY} and len(members) == model.size:\n",
         "    if head_state is MemberState.READY:\n",
         "packages/placement/tests/test_random_troubles.py",
--- a/packages/placement/src/fordhatch/placement/_crash_loops.py
+++ b/packages/placement/src/fordhatch/placement/_crash_loops.py
@@ -1,8 +1,8 @@
-"""Models whose backend servers end as they join a group, tried again ever more seldom.
+"""Back-off for models whose backend servers crash as they join a group.
 
-A model that can't be served (spoiled weights, an engine that does not fit) ends who
-joins for it. Its groups are wanted all the same, and the planner would form the next
-one of the next backend servers, and give up groups of other models for it.
+A model that cannot be served (corrupt weights, an incompatible engine) crashes the
+backend servers that join its groups. Without a back-off, the planner would form further
+groups of it from other backend servers, and give up groups of other models for them.
 """
 
 from __future__ import annotations
@@ -14,77 +14,77 @@
 
 from fordhatch.core import Timer, log_event
 
-FAILURES_IN_A_ROW = 4
-"""Formations that lose a member that had joined, without any group of the model opening
-in between. A member is lost every three seconds at worst, and a formation takes two:
-that four in a row fail by chance comes once in some hundred formations, and costs two
-seconds."""
+MAX_CONSECUTIVE_FAILURES = 4
+"""Consecutive formations that lose a joined member, with no group of the model opening
+in between, until formations pause. With a member lost every three seconds at worst and
+two seconds for a formation, four in a row fail by chance once in some hundred
+formations, at a cost of two seconds."""
 
-DOUBT_S = 4.0
-"""A member that is found to be lost within this time after its formation was given up
-has ended as it joined: it is asked at once, and again within a second."""
+CRASH_DETECTION_S = 4.0
+"""A member found lost within this time after its formation was abandoned counts as
+crashed on joining: it is probed at once, and again within a second."""
 
-PAUSE_FIRST_S = 2.0
-"""Pause after that many; it doubles with each further one."""
+FIRST_PAUSE_S = 2.0
+"""Pause after that many failures; it doubles with each further one."""
 
-PAUSE_MOST_S = 60.0
-"""Longest pause: a group of sixteen that ends each minute is a quarter of a backend
-server lost, and a model that has been mended is served again within a minute."""
+MAX_PAUSE_S = 60.0
+"""Longest pause: crashing a group of sixteen each minute costs about a quarter of a
+backend server, and a repaired model is served again within a minute."""
 
 
 @attrs.frozen
-class _GivenUp:
-    """A formation that was given up."""
+class _AbandonedFormation:
+    """A formation that was abandoned."""
 
     model: str
     joined: frozenset[str]
-    """Backend servers that had taken their places."""
+    """Backend servers that had joined."""
     at_s: float
 
 
 @attrs.define(eq=False, repr=False)
 class CrashLoops:
-    """Counts formations that failed, by model."""
+    """Count failed formations by model, and pause formations after several."""
 
     timer: Timer
     _failures: Counter[str] = attrs.field(factory=Counter)
-    _until_s: dict[str, float] = attrs.field(factory=dict)
-    _given_up: list[_GivenUp] = attrs.field(factory=list)
+    _paused_until_s: dict[str, float] = attrs.field(factory=dict)
+    _abandoned: list[_AbandonedFormation] = attrs.field(factory=list)
 
-    def gave_up(self, model: str, joined: frozenset[str]) -> None:
-        """Note that a formation was given up; why is not known yet.
+    def record_abandoned(self, model: str, joined: frozenset[str]) -> None:
+        """Record an abandoned formation, whose cause is not known yet.
 
         Args:
             model: The group's model.
-            joined: Backend servers that had taken their places.
+            joined: Backend servers that had joined.
         """
-        self._given_up.append(_GivenUp(model, joined, self.timer.now_s()))
+        self._abandoned.append(_AbandonedFormation(model, joined, self.timer.now_s()))
 
     def step(self, lost: Collection[str]) -> None:
-        """Count the formations that were given up because a member has ended.
+        """Count the abandoned formations in which a joined member crashed.
 
         Args:
             lost: Backend servers that are known to be lost.
         """
-        if not self._given_up:
+        if not self._abandoned:
             return
-        since_s = self.timer.now_s() - DOUBT_S
-        open_ones = []
-        for one in self._given_up:
-            if any(backend_id in lost for backend_id in one.joined):
-                self.failed(one.model)
-            elif one.at_s > since_s:
-                open_ones.append(one)
-        self._given_up = open_ones
-
-    def failed(self, model: str) -> None:
-        """Note that a backend server has ended as it joined a group of a model."""
+        since_s = self.timer.now_s() - CRASH_DETECTION_S
+        undecided = []
+        for formation in self._abandoned:
+            if any(backend_id in lost for backend_id in formation.joined):
+                self.record_failure(formation.model)
+            elif formation.at_s > since_s:
+                undecided.append(formation)
+        self._abandoned = undecided
+
+    def record_failure(self, model: str) -> None:
+        """Record that a backend server crashed as it joined a group of a model."""
         self._failures[model] += 1
-        beyond = self._failures[model] - FAILURES_IN_A_ROW
+        beyond = self._failures[model] - MAX_CONSECUTIVE_FAILURES
         if beyond < 0:
             return
-        pause_s = min(PAUSE_FIRST_S * 2.0 ** min(beyond, 10), PAUSE_MOST_S)
-        self._until_s[model] = self.timer.now_s() + pause_s
+        pause_s = min(FIRST_PAUSE_S * 2.0 ** min(beyond, 10), MAX_PAUSE_S)
+        self._paused_until_s[model] = self.timer.now_s() + pause_s
         log_event(
             "model_held_off",
             model=model,
@@ -92,18 +92,20 @@
             pause_s=pause_s,
         )
 
-    def opened(self, model: str) -> None:
-        """Note that a group of a model serves."""
+    def record_opened(self, model: str) -> None:
+        """Record that a group of a model serves, which ends the back-off."""
         self._failures.pop(model, None)
-        self._until_s.pop(model, None)
+        self._paused_until_s.pop(model, None)
 
     def held_off(self) -> frozenset[str]:
-        """Return the models of which no group should be formed now."""
+        """Return the models for which forming groups is paused."""
         now_s = self.timer.now_s()
-        return frozenset(m for m, until_s in self._until_s.items() if until_s > now_s)
+        return frozenset(
+            m for m, until_s in self._paused_until_s.items() if until_s > now_s
+        )
 
     def forget(self) -> None:
-        """Forget all; another planner goes on."""
-        self._given_up.clear()
+        """Clear all state when another planner takes over."""
+        self._abandoned.clear()
         self._failures.clear()
-        self._until_s.clear()
+        self._paused_until_s.clear()
--- a/packages/placement/src/fordhatch/placement/_crash_record_care.py
+++ b/packages/placement/src/fordhatch/placement/_crash_record_care.py
@@ -1,4 +1,4 @@
-"""Rows about servers that ended under requests: kept for a while, and not too many."""
+"""Retention of the store's rows about requests that crashed backend servers."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from fordhatch.core import TaskSet, Timer, log_event
 from fordhatch.registry import SHARED_TABLE, CrashKey, CrashRecord, StoreView, crash_key
 
-KEEP_S = 3600.0
-"""How long a content is held back after the newest crash under it. What ends an engine
-is mended by people, in hours; when the time is over, a content that still does ends
-two or three more."""
+RETENTION_S = 3600.0
+"""How long a content stays quarantined after its newest crash. Faults of an engine are
+repaired by operators, within hours; afterwards, a content that still causes crashes
+crashes two or three more backend servers."""
 
-MOST_ROWS = 600
-"""Rows that are kept: 200 contents with three crashes each, 70 KB, which a node that
-starts reads in 0.06 s on a link of 10 Mbit/s."""
+MAX_ROWS = 600
+"""Most rows kept: 200 contents with three crashes each, 70 KB, which a starting node
+reads in 0.06 s over a link of 10 Mbit/s."""
 
-LOOK_EVERY_S = 2.0
-"""Pause between looks; nothing is decided by when a row goes."""
+CHECK_INTERVAL_S = 2.0
+"""Time between checks; no decision depends on when a row is removed."""
 
-MOST_REMOVED = 90
-"""Rows that one call removes; the store takes a hundred."""
+MAX_ROWS_PER_CALL = 90
+"""Most rows removed by one call; the store accepts a hundred."""
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for the removal; the next look tries again."""
+"""Timeout of the removal; the next check retries it."""
 
 
 def outdated(records: Iterable[CrashRecord], now_s: float) -> list[CrashKey]:
-    """Return the rows that need not be kept.
+    """Return the keys of the rows to remove.
 
     Args:
         records: All rows about crashes.
@@ -40,39 +40,39 @@
     for record in records:
         by_digest.setdefault(record.digest, []).append(record)
     newest_s = {d: max(r.seen_s for r in rs) for d, rs in by_digest.items()}
-    old = [d for d, seen_s in newest_s.items() if now_s - seen_s > KEEP_S]
-    gone = [r.key for d in old for r in by_digest.pop(d)]
-    # The fewer crashes speak against a content, and the longer ago, the less is lost.
+    old = [d for d, seen_s in newest_s.items() if now_s - seen_s > RETENTION_S]
+    removable = [r.key for d in old for r in by_digest.pop(d)]
+    # Contents with few and old crashes are removed first: they matter least.
     in_order = sorted(by_digest, key=lambda d: (len(by_digest[d]), newest_s[d]))
     rows = sum(map(len, by_digest.values()))
     for digest in in_order:
-        if rows <= MOST_ROWS:
+        if rows <= MAX_ROWS:
             break
         rows -= len(by_digest[digest])
-        gone.extend(r.key for r in by_digest[digest])
-    return gone
+        removable.extend(r.key for r in by_digest[digest])
+    return removable
 
 
 @attrs.define(eq=False, repr=False)
 class CrashRecordCare:
-    """The planner's side of the rows about crashes."""
+    """Remove outdated crash records from the store on behalf of the planner."""
 
     view: StoreView
     store: StoreClient
     timer: Timer
-    _next_look_s: float = 0.0
+    _next_check_s: float = 0.0
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def step(self) -> None:
-        """Remove what need not be kept, when it is time to look."""
+        """Remove outdated rows if a check is due."""
         now_s = self.timer.now_s()
         records = self.view.shared.crashes
-        if not records or now_s < self._next_look_s:
+        if not records or now_s < self._next_check_s:
             return
-        self._next_look_s = now_s + LOOK_EVERY_S
-        gone = outdated(records.values(), now_s)[:MOST_REMOVED]
-        if gone:
-            self._tasks.spawn(self._remove(gone), "crash-records")
+        self._next_check_s = now_s + CHECK_INTERVAL_S
+        removable = outdated(records.values(), now_s)[:MAX_ROWS_PER_CALL]
+        if removable:
+            self._tasks.spawn(self._remove(removable), "crash-records")
 
     async def _remove(self, keys: list[CrashKey]) -> None:
         rows = tuple(RowKey(SHARED_TABLE, crash_key(*key)) for key in keys)
@@ -82,5 +82,5 @@
             log_event("crash_records_kept", rows=len(rows), error=error)
 
     async def close(self) -> None:
-        """Stop removing."""
+        """Cancel pending removals."""
         await self._tasks.close()
--- a/packages/placement/src/fordhatch/placement/_demand_book.py
+++ b/packages/placement/src/fordhatch/placement/_demand_book.py
@@ -1,8 +1,8 @@
-"""What is asked of each model by all nodes, as far as some of them have said.
+"""Estimate of the demand for each model, from the reports of a sample of nodes.
 
-Groups used to follow the shares that operators declare for the start. Where a declared
-half was a tenth in fact, the model that had the other nine tenths lacked groups in each
-burst: 0.46 to 0.61 of its requests were on time while 0.93 of the other's were.
+Declared shares alone are not enough. Where a model with a declared half got a tenth of
+the work, the model with the other nine tenths lacked groups in each burst: 0.46 to 0.61
+of its requests were on time, and 0.93 of the other model's.
 """
 
 from __future__ import annotations
@@ -14,57 +14,57 @@
 
 from fordhatch.catalog import EngineProfile, ModelDemand, ModelKey, ModelProfile
 
-WORD_S = 1.2
-"""How long a node's word counts. Sixteen nodes are asked each 0.4 s, so that about
-fifty words count at any time, or those of all nodes where there are fewer."""
+REPORT_LIFETIME_S = 1.2
+"""How long a node's report counts. Sixteen nodes are polled every 0.4 s, so that about
+fifty reports count at any time, or those of all nodes where there are fewer."""
 
-TRUSTED_AFTER_S = 1.2
-"""Words count from this time on after the first one: a planner that has just taken over
-would otherwise move groups on the word of a few nodes."""
+MIN_OBSERVATION_S = 1.2
+"""Time from the first report until the estimate is used: a planner that has just
+taken over would otherwise move groups on the reports of a few nodes."""
 
-UNHEARD_S = 3.0
-"""Where no node says anything for this long, what operators declare has to do."""
+NO_REPORTS_TIMEOUT_S = 3.0
+"""Without any report for this long, the planner relies on the declared shares."""
 
-FAST_S = 0.5
-"""Time over which words are averaged for bursts: these last some seconds, and a group
-of another model takes three to give way."""
+FAST_AVERAGE_S = 0.5
+"""Averaging time for bursts: these last some seconds, and converting a group of
+another model takes three."""
 
-SLOW_S = 6.0
-"""The same for anything else. Waves of ten seconds average out, and groups that are
-left after a burst are not missed in the next one."""
+SLOW_AVERAGE_S = 6.0
+"""Averaging time for the base load. Waves of ten seconds average out, and groups kept
+after a burst are there for the next one."""
 
-FALL_S = 5.0
-"""Time in which a burst that is over is believed no more."""
+BURST_DECAY_S = 5.0
+"""Time constant with which the estimate falls after a burst."""
 
 WAVE_FACTOR = 1.05
-"""What is asked now counts less this factor, the slow average in full: waves of a fifth
-hardly show, and a burst does at once in most of its height. Where waves showed in full,
-two models out of step exchanged five of six groups within half a minute."""
+"""The fast average is divided by this factor, the slow one counts in full: waves of a
+fifth hardly show, and most of a burst shows at once. With undamped waves, two models
+whose waves were out of phase exchanged five of six groups within half a minute."""
 
 NOISE_FACTOR = 1.1
-"""Added to that factor, over the square root of the requests that are in sight: of a
-model with a dozen, chance alone shows bursts of a third. Where these were believed, a
-model that was asked for 1.6 full groups was taken for one of 2.6, and gave none up."""
+"""Added to that factor, divided by the square root of the observed requests: at a
+dozen requests, noise alone looks like bursts of a third. Without it, a model with work
+for 1.6 full groups was estimated at 2.6 and gave up none."""
 
-DECLARED_REQUESTS = 25.0
-"""Declared shares count for this many requests a second beside those that are seen:
-what a handful of requests asks for says nothing about the next ones."""
+DECLARED_WEIGHT_REQUESTS_PER_S = 25.0
+"""Weight of the declared shares beside the observed requests, in requests per second:
+a handful of requests does not predict the following ones."""
 
-DECLARED_BUSY = 0.3
-"""How busy groups are taken to be whose work is only declared. Groups in use are about
-that busy on ordinary days, so that measured and declared work can be mixed."""
+DECLARED_UTILIZATION = 0.3
+"""Utilization assumed for groups whose work is only declared. It is about that of
+groups in normal operation, so that observed and declared work can be mixed."""
 
-FORGOTTEN_PER_S = 1e-3
-"""A model of which fewer requests a second come than this is forgotten: models come and
-go with the configuration."""
+MIN_REQUESTS_PER_S = 1e-3
+"""A model with fewer requests per second than this is dropped: the configuration adds
+and removes models."""
 
-TOLD_SHARE = 0.25
-"""A change of this share is logged: waves of a fifth come and go without a line."""
+LOGGED_CHANGE_FRACTION = 0.25
+"""Relative change that is logged: waves of a fifth are not."""
 
 
 @attrs.frozen
-class _Word:
-    """What a node has said, and when."""
+class _Report:
+    """A node's report of its demand, and when it arrived."""
 
     at_s: float
     demand: Mapping[ModelKey, ModelDemand]
@@ -72,154 +72,164 @@
 
 @attrs.define
 class _Averages:
-    """What is asked of one model, over a short time and over a longer one."""
+    """Averages of the demand for one model over a short and a longer time."""
 
     fast: ModelDemand
     slow: ModelDemand
-    believed: ModelDemand
-    """Follows a burst at once and falls slowly."""
+    estimate: ModelDemand
+    """Rises with a burst at once and falls slowly."""
 
-    def follow(self, seen: ModelDemand, requests: float, passed_s: float) -> None:
-        """Follow what is seen now.
+    def update(self, seen: ModelDemand, requests: float, passed_s: float) -> None:
+        """Update the averages and the estimate.
 
         Args:
-            seen: What all nodes together ask for, worked out from those in sight.
-            requests: Requests in sight, of which that was worked out.
-            passed_s: Time since it was last followed.
+            seen: Demand at all nodes, extrapolated from the reports.
+            requests: Number of reported requests that this is derived from.
+            passed_s: Time since the last update, in seconds.
         """
-        self.fast = self.fast.towards(seen, passed_s / FAST_S)
-        self.slow = self.slow.towards(seen, passed_s / SLOW_S)
-        doubt = WAVE_FACTOR + NOISE_FACTOR / math.sqrt(max(requests, 1.0))
-        burst = self.fast.times(1.0 / doubt)
-        aim = max(self.slow, burst, key=lambda d: d.busy_groups)
-        falls = aim.busy_groups < self.believed.busy_groups
-        self.believed = self.believed.towards(aim, passed_s / FALL_S) if falls else aim
+        self.fast = self.fast.towards(seen, passed_s / FAST_AVERAGE_S)
+        self.slow = self.slow.towards(seen, passed_s / SLOW_AVERAGE_S)
+        uncertainty = WAVE_FACTOR + NOISE_FACTOR / math.sqrt(max(requests, 1.0))
+        burst = self.fast.times(1.0 / uncertainty)
+        target = max(self.slow, burst, key=lambda d: d.busy_groups)
+        is_falling = target.busy_groups < self.estimate.busy_groups
+        self.estimate = (
+            self.estimate.towards(target, passed_s / BURST_DECAY_S)
+            if is_falling
+            else target
+        )
 
 
 @attrs.define(eq=False, repr=False)
 class DemandBook:
-    """The words of nodes, and what follows from them for all."""
+    """Collect the reports of nodes and estimate the demand at all nodes."""
 
-    _words: dict[str, _Word] = attrs.field(factory=dict)
+    _reports: dict[str, _Report] = attrs.field(factory=dict)
     _averages: dict[ModelKey, _Averages] = attrs.field(factory=dict)
-    _told: dict[str, dict[str, float]] = attrs.field(factory=dict)
-    """What was last logged, by service and model."""
-    _began_s: float | None = None
-    """When words were first waited for."""
-    _first_s: float | None = None
-    _last_s: float = -math.inf
+    _logged: dict[str, dict[str, float]] = attrs.field(factory=dict)
+    """Work that was last logged, in full groups, by service and model."""
+    _waiting_since_s: float | None = None
+    """When waiting for reports began."""
+    _first_report_s: float | None = None
+    _last_step_s: float = -math.inf
 
     def heard(
         self, node_name: str, demand: Mapping[ModelKey, ModelDemand], now_s: float
     ) -> None:
-        """Take a node's word."""
-        self._words[node_name] = _Word(now_s, dict(demand))
-        if self._first_s is None:
-            self._first_s = now_s
+        """Record a node's report."""
+        self._reports[node_name] = _Report(now_s, dict(demand))
+        if self._first_report_s is None:
+            self._first_report_s = now_s
 
     def is_trusted(self, now_s: float) -> bool:
-        """Return whether groups may be moved by what is known.
+        """Return whether the estimate may be used to move groups.
 
-        Either words have come for long enough, or nobody says anything.
+        Either reports have arrived for long enough, or none arrive at all.
         """
-        if self._first_s is not None:
-            return now_s - self._first_s >= TRUSTED_AFTER_S
-        if self._began_s is None:
-            self._began_s = now_s
-        return now_s - self._began_s >= UNHEARD_S
+        if self._first_report_s is not None:
+            return now_s - self._first_report_s >= MIN_OBSERVATION_S
+        if self._waiting_since_s is None:
+            self._waiting_since_s = now_s
+        return now_s - self._waiting_since_s >= NO_REPORTS_TIMEOUT_S
 
     def step(self, node_count: int, now_s: float) -> None:
-        """Follow what the nodes ask for now.
+        """Update the averages from the reports that still count.
 
         Args:
-            node_count: Nodes that there are; those that were not asked are taken to
-                be like the others.
+            node_count: Number of nodes; those without a report are assumed to have
+                the average demand of those with one.
             now_s: Monotonic seconds.
         """
-        self._words = {n: w for n, w in self._words.items() if now_s - w.at_s <= WORD_S}
-        if not self._words:
+        self._reports = {
+            n: r
+            for n, r in self._reports.items()
+            if now_s - r.at_s <= REPORT_LIFETIME_S
+        }
+        if not self._reports:
             return
-        factor = max(node_count, len(self._words)) / len(self._words)
+        factor = max(node_count, len(self._reports)) / len(self._reports)
         seen: dict[ModelKey, ModelDemand] = {}
-        for word in self._words.values():
-            for key, demand in word.demand.items():
+        for report in self._reports.values():
+            for key, demand in report.demand.items():
                 seen[key] = seen.get(key, ModelDemand()) + demand.times(factor)
-        passed_s = min(max(now_s - self._last_s, 0.0), SLOW_S)
-        self._last_s = now_s
+        passed_s = min(max(now_s - self._last_step_s, 0.0), SLOW_AVERAGE_S)
+        self._last_step_s = now_s
         for key in self._averages.keys() | seen.keys():
-            now = seen.get(key, ModelDemand())
-            # Words count over about a second.
-            requests = now.requests_per_s / factor
-            known = self._averages.setdefault(key, _Averages(now, now, now))
-            known.follow(now, requests, passed_s)
+            current = seen.get(key, ModelDemand())
+            # A report covers about one second, so the rate is the number of requests.
+            requests = current.requests_per_s / factor
+            averages = self._averages.setdefault(
+                key, _Averages(current, current, current)
+            )
+            averages.update(current, requests, passed_s)
         self._averages = {
-            key: known
-            for key, known in self._averages.items()
-            if known.slow.requests_per_s >= FORGOTTEN_PER_S
+            key: averages
+            for key, averages in self._averages.items()
+            if averages.slow.requests_per_s >= MIN_REQUESTS_PER_S
         }
 
-    def measured(self, service: str, models: Sequence[ModelProfile]) -> ModelDemand:
-        """Return what is asked of all models of a service together."""
-        return sum((self._of(service, m) for m in models), ModelDemand())
+    def total_demand(self, service: str, models: Sequence[ModelProfile]) -> ModelDemand:
+        """Return the total estimated demand for a service's models."""
+        return sum((self._estimate_of(service, m) for m in models), ModelDemand())
 
-    def _of(self, service: str, model: ModelProfile) -> ModelDemand:
-        known = self._averages.get((service, model.name))
-        return known.believed if known is not None else ModelDemand()
+    def _estimate_of(self, service: str, model: ModelProfile) -> ModelDemand:
+        averages = self._averages.get((service, model.name))
+        return averages.estimate if averages is not None else ModelDemand()
 
     def busy_groups(
         self, service: str, profile: EngineProfile, backends: int
     ) -> dict[str, float]:
-        """Return how many full groups of each model the work of all callers fills.
+        """Return the work of all callers for each model, in full groups.
 
         Args:
             service: The service.
             profile: Its engine, with the declared shares.
-            backends: Backend servers that are in a group or could be.
+            backends: Number of backend servers that are in a group or can join one.
         """
         declared = declared_busy_groups(profile, backends)
-        requests_per_s = self.measured(service, profile.models).requests_per_s
-        trust = requests_per_s / (requests_per_s + DECLARED_REQUESTS)
+        requests_per_s = self.total_demand(service, profile.models).requests_per_s
+        weight = requests_per_s / (requests_per_s + DECLARED_WEIGHT_REQUESTS_PER_S)
         return {
             model.name: declared[model.name]
             if model.wanted_groups is not None
-            else trust * self._of(service, model).busy_groups
-            + (1.0 - trust) * declared[model.name]
+            else weight * self._estimate_of(service, model).busy_groups
+            + (1.0 - weight) * declared[model.name]
             for model in profile.models
         }
 
     def has_moved(self, service: str, busy_groups: Mapping[str, float]) -> bool:
-        """Return whether the work of a model has changed much since that was told."""
-        told = self._told.get(service)
-        if told is not None and not any(
-            _differ(work, told.get(model, 0.0)) for model, work in busy_groups.items()
+        """Return whether a model's work has changed much since it was last logged."""
+        logged = self._logged.get(service)
+        if logged is not None and not any(
+            _differ(work, logged.get(model, 0.0)) for model, work in busy_groups.items()
         ):
             return False
-        self._told[service] = dict(busy_groups)
+        self._logged[service] = dict(busy_groups)
         return True
 
     def forget(self) -> None:
-        """Forget everything; another planner goes on."""
-        self._words.clear()
-        self._told.clear()
+        """Clear all state when another planner takes over."""
+        self._reports.clear()
+        self._logged.clear()
         self._averages.clear()
-        self._began_s = self._first_s = None
-        self._last_s = -math.inf
+        self._waiting_since_s = self._first_report_s = None
+        self._last_step_s = -math.inf
 
 
 def _differ(work: float, other: float) -> bool:
-    return abs(work - other) > TOLD_SHARE * max(work, other)
+    return abs(work - other) > LOGGED_CHANGE_FRACTION * max(work, other)
 
 
 def declared_busy_groups(profile: EngineProfile, backends: int) -> dict[str, float]:
-    """Return the work of each model as operators declare it, in full groups.
+    """Return the declared work of each model, in full groups.
 
     Args:
-        profile: The engine, with the shares or numbers of groups that are declared.
-        backends: Backend servers that are in a group or could be.
+        profile: The engine, with the declared shares or numbers of groups.
+        backends: Number of backend servers that are in a group or can join one.
     """
     total = sum(m.share for m in profile.models) or 1.0
     return {
-        m.name: DECLARED_BUSY
+        m.name: DECLARED_UTILIZATION
         * (
             float(m.wanted_groups)
             if m.wanted_groups is not None
--- a/packages/placement/src/fordhatch/placement/_group_care.py
+++ b/packages/placement/src/fordhatch/placement/_group_care.py
@@ -1,4 +1,4 @@
-"""Looks after the groups that there are: opens, keeps, or takes them apart."""
+"""Supervision of existing groups: opening, keeping and dissolving them."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from ._crash_loops import CrashLoops
 from ._dissolutions import Dissolutions
 from ._formations import LOAD_SLACK_FACTOR, Formations
-from ._groups_seen import GroupCondition, GroupSeen, judge
+from ._group_status import GroupCondition, GroupStatus, assess_group
 from ._layout import Layout
 from ._loss_check import LossCheck
 from ._lost_groups import LostGroups
 
 TAKEOVER_GRACE_S = 1.2
-"""A new planner waits this long for groups that an earlier one was forming."""
+"""How long a new planner waits for groups that an earlier one was forming."""
 
-SETTLED_S = 3.0
-"""A group is not given up for another sooner than this after it opened."""
+MIN_SERVING_S = 3.0
+"""Time after its opening before a group may be given up for another one."""
 
-UNLISTED_WORK_S = 1.2
-"""How long a head that is alive, but no longer listed, may go on with its streams:
-most of them end within a second. It gets nothing new, and backend servers that the
-store does not hear are often back soon."""
+UNLISTED_HEAD_GRACE_S = 1.2
+"""How long a head that is alive but no longer listed keeps its group: most of its
+streams end within a second. It receives no new requests, and a backend server that lost
+its connection to the store is often listed again soon."""
 
 USELESS_PACE = 2.5
-"""A group with a member that is this many times slower is taken apart: at a third of
-its pace its streams pause for longer than callers accept, as soon as a few run."""
+"""A group with a member that is this many times slower is dissolved: at a third of the
+usual speed, the pauses of its streams exceed what callers accept once a few run."""
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for the removal of a row."""
+"""Timeout of the removal of a row; also the pause after a failed removal."""
 
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class GroupCare:
-    """What the planner remembers of each group, and what it does about it."""
+    """Keep the planner's state of each group and advance the group accordingly."""
 
     view: StoreView
     store: StoreClient
@@ -52,11 +52,11 @@
     dissolutions: Dissolutions
     loops: CrashLoops
     lost: LostGroups = attrs.field(factory=LostGroups)
-    _members_seen: dict[Key, dict[int, BackendServer]] = attrs.field(factory=dict)
+    _known_members: dict[Key, dict[int, BackendServer]] = attrs.field(factory=dict)
     _restarted: set[Key] = attrs.field(factory=set)
-    """Groups in which a member was seen under a later start: it may have a place
-    again by an order that was carried out late, but the group is broken."""
-    _odd_since_s: dict[Key, float] = attrs.field(factory=dict)
+    """Groups in which a member has restarted. A late join order can give the later
+    start its place in the group, but the group is broken."""
+    _leftover_since_s: dict[Key, float] = attrs.field(factory=dict)
     _suspected_since_s: dict[Key, float] = attrs.field(factory=dict)
     _serving_since_s: dict[Key, float] = attrs.field(factory=dict)
     _headless_since_s: dict[Key, float] = attrs.field(factory=dict)
@@ -64,103 +64,110 @@
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def tend(self, layout: Layout, group: ReplicaGroup) -> bool:
-        """Do what a group needs; returns whether it counts as a group."""
+        """Advance a group.
+
+        Returns:
+            Whether it still counts as a group.
+        """
         model = layout.profile.model(group.model)
         if model is None:
-            return self._tend_retired(layout, group)
-        seen = judge(group, model, self.losses.dead)
-        self._remember(group)
+            return self._advance_undeclared(layout, group)
+        status = assess_group(group, model, self.losses.dead)
+        self._record_members(group)
         if group.head is not None:
             self._headless_since_s.pop(group.key, None)
         if group.key in self._restarted:
             self.dissolve(group, "member started again")
             return False
-        match seen.condition:
-            case GroupCondition.SERVING if self._is_held_back(group):
+        match status.condition:
+            case GroupCondition.SERVING if self._is_slowed_down(group):
                 self.dissolve(group, "slow member", finishes_work=True)
                 return False
             case GroupCondition.SERVING:
                 self._serving_since_s.setdefault(group.key, self.timer.now_s())
                 if self.formations.opened(group.key):
-                    self.loops.opened(group.model)
-                    self.lost.opened(group.model)
+                    self.loops.record_opened(group.model)
+                    self.lost.record_opened(group.model)
             case GroupCondition.COMPLETE:
                 self.formations.open(group)
             case GroupCondition.LEAVING:
-                return self._tend_leaving(layout, group, model)
+                return self._advance_draining(layout, group, model)
             case GroupCondition.INCOMPLETE:
-                return self._tend_incomplete(group, seen)
+                return self._advance_incomplete(group, status)
             case GroupCondition.FORMING:
-                return self._tend_forming(group, seen, model)
+                return self._advance_forming(group, status, model)
             case GroupCondition.CLOSING:
-                return self._is_patient(group.key)
+                return self._may_still_complete(group.key)
         return True
 
-    def _tend_retired(self, layout: Layout, group: ReplicaGroup) -> bool:
-        """Let a group whose model is no longer declared serve until it is replaced.
+    def _advance_undeclared(self, layout: Layout, group: ReplicaGroup) -> bool:
+        """Keep a group whose model is no longer declared until it is replaced.
 
-        Its members stage what is declared meanwhile, and change over group by group.
+        Meanwhile its members stage the weights of declared models, and are converted
+        group by group.
         """
         head = group.head
         serves = head is not None and head.membership.state is MemberState.OPEN
         if serves and layout.lacks_groups() and layout.profile.staged_models_kept:
             self._serving_since_s.setdefault(group.key, self.timer.now_s())
-            self._remember(group)
+            self._record_members(group)
             return True
         reason = "model is not declared"
         self.dissolve(group, reason, finishes_work=True, is_lost=False)
         return False
 
-    def _tend_leaving(
+    def _advance_draining(
         self, layout: Layout, group: ReplicaGroup, model: ModelProfile
     ) -> bool:
-        """Replace a group with a draining member, as late as that costs nothing.
+        """Replace a group with a draining member as late as is possible without cost.
 
-        Nobody sends to a head that drains. Any other member stays while the group
-        has work, so the group serves on until another can take its place at once,
-        or until the member is gone.
+        A draining head receives no requests. Any other draining member stays while
+        the group has work, so the group keeps serving until free backend servers can
+        replace the draining ones without a load, or until the member has left.
         """
         leaving = [
             m for m in group.members.values() if m.state is BackendState.DRAINING
         ]
         head_leaves = any(m.is_head for m in leaving)
-        if not head_leaves and self._spares(layout, group, model) < len(leaving):
+        if not head_leaves and self._count_spares(layout, group, model) < len(leaving):
             return True
         if group.head.membership.state is MemberState.READY:
-            # It was never opened: the members may go on at once.
+            # It was never opened: its members can be released at once.
             self.dissolve(group, "member drains")
         else:
             self.dissolve(group, "member drains", finishes_work=True)
         return False
 
-    def _spares(self, layout: Layout, group: ReplicaGroup, model: ModelProfile) -> int:
-        """Return how many backend servers could take a place without a load."""
+    def _count_spares(
+        self, layout: Layout, group: ReplicaGroup, model: ModelProfile
+    ) -> int:
+        """Return how many free backend servers can join without a load."""
         domain = group.head.domain
-        spoken_for = self.formations.member_ids()
+        reserved = self.formations.member_ids()
         return sum(
             b.domain == domain
             and b.membership is None
             and b.state is BackendState.READY
-            and b.backend_id not in spoken_for
+            and b.backend_id not in reserved
             and not layout.must_load(b, model)
             for b in self.view.directory.index.of_service(group.head.service)
         )
 
-    def _remember(self, group: ReplicaGroup) -> None:
-        known = self._members_seen.get(group.key)
+    def _record_members(self, group: ReplicaGroup) -> None:
+        known = self._known_members.get(group.key)
         if known is None:
-            known = self._members_seen[group.key] = self._recorded(group.key)
+            known = self._known_members[group.key] = self._recorded_members(group.key)
         for rank, member in group.members.items():
-            seen = known.setdefault(rank, member)
-            if seen.backend_id != member.backend_id:
+            previous = known.setdefault(rank, member)
+            if previous.backend_id != member.backend_id:
                 self._restarted.add(group.key)
             known[rank] = member
 
-    def _is_held_back(self, group: ReplicaGroup) -> bool:
-        """Return whether a slow member makes a whole group useless.
+    def _is_slowed_down(self, group: ReplicaGroup) -> bool:
+        """Return whether a slow member makes a group useless.
 
-        A group works at the pace of its slowest member, and its other members serve
-        better elsewhere; but the last group of a model serves on as it is.
+        A group runs at the speed of its slowest member, and its other members are
+        worth more in another group. The last group of a model is kept.
         """
         slow = self.view.shared.slow
         pace = max(
@@ -175,32 +182,32 @@
             for h in heads
         )
 
-    def _recorded(self, key: Key) -> dict[int, BackendServer]:
+    def _recorded_members(self, key: Key) -> dict[int, BackendServer]:
         """Return the members that an earlier planner has recorded, by rank.
 
-        Without them nobody would know the head of a group of which one member is
-        left, and that member would wait until the head must have broken.
+        Without them, the head of a group with one remaining member would be unknown,
+        and that member would wait until the head must have broken.
         """
         record = self.view.shared.records.get(key)
         return dict(enumerate(record.members)) if record is not None else {}
 
-    def _tend_incomplete(self, group: ReplicaGroup, seen: GroupSeen) -> bool:
-        """A member of a serving group is missing: make sure, then replace it."""
-        if seen.missing > 0 and self._is_only_unlisted(group):
+    def _advance_incomplete(self, group: ReplicaGroup, status: GroupStatus) -> bool:
+        """Dissolve a group with missing members, unless they are only unlisted."""
+        if status.missing > 0 and self._is_only_unlisted(group):
             return True
-        reason = f"{seen.missing} members missing" if seen.missing else "broken"
+        reason = f"{status.missing} members missing" if status.missing else "broken"
         self.dissolve(group, reason)
         return False
 
     def _is_only_unlisted(self, group: ReplicaGroup) -> bool:
-        """Return whether every missing member may still be at work.
+        """Return whether every missing member may still be serving.
 
-        A backend server that the store does not hear, or whose entry can't be read,
-        is not listed, but the group goes on with it. One that is listed elsewhere has
-        left. The head is different: nobody may send to one that is not
-        listed, so that the group is given up when it has finished its streams.
+        A backend server that cannot reach the store, or whose entry cannot be
+        decoded, is not listed, but continues to serve in its group. One that is
+        listed without its place has left the group. An unlisted head receives no new
+        requests, so its group is dissolved once its streams have had time to end.
         """
-        known = self._members_seen.get(group.key, {})
+        known = self._known_members.get(group.key, {})
         if any(m.backend_id in self.losses.dead for m in known.values()):
             return False
         absent = [m for rank, m in known.items() if rank not in group.members]
@@ -210,7 +217,7 @@
         now_s = self.timer.now_s()
         if group.head is None:
             since_s = self._headless_since_s.setdefault(group.key, now_s)
-            if 0 not in known or now_s - since_s >= UNLISTED_WORK_S:
+            if 0 not in known or now_s - since_s >= UNLISTED_HEAD_GRACE_S:
                 return False
         for member in absent:
             self.losses.ask(member)
@@ -224,57 +231,61 @@
         finishes_work: bool = False,
         is_lost: bool = True,
     ) -> None:
-        """Begin to take a group apart, members that are no longer listed included.
+        """Begin to dissolve a group, including members that are no longer listed.
 
         Args:
             group: The group.
-            reason: For the log.
+            reason: Reason for the log.
             finishes_work: Whether the head first finishes its requests.
-            is_lost: Whether another group of its model is to take its place.
+            is_lost: Whether the group counts as missing until it is replaced.
         """
         served = group.key in self._serving_since_s
         if is_lost and served and not self.dissolutions.is_held(group.key):
-            self.lost.lost(group.model, self.timer.now_s())
-        members = {**self._members_seen.get(group.key, {}), **group.members}
-        whole = ReplicaGroup(group.name, group.epoch, members)
-        self.dissolutions.begin(whole, reason, finishes_work=finishes_work)
+            self.lost.record_lost(group.model, self.timer.now_s())
+        members = {**self._known_members.get(group.key, {}), **group.members}
+        complete = ReplicaGroup(group.name, group.epoch, members)
+        self.dissolutions.begin(complete, reason, finishes_work=finishes_work)
         if self.formations.active.pop(group.key, None) is not None:
-            self._note_failure(group)
+            self._record_failure(group)
 
-    def _note_failure(self, group: ReplicaGroup) -> None:
-        """Note that a formation failed, and who had joined."""
+    def _record_failure(self, group: ReplicaGroup) -> None:
+        """Record a failed formation and the members that had joined."""
         joined = frozenset(m.backend_id for m in group.members.values())
-        self.loops.gave_up(group.model, joined)
+        self.loops.record_abandoned(group.model, joined)
 
-    def _tend_forming(
-        self, group: ReplicaGroup, seen: GroupSeen, model: ModelProfile
+    def _advance_forming(
+        self, group: ReplicaGroup, status: GroupStatus, model: ModelProfile
     ) -> bool:
         if group.key in self.formations.active:
-            lost = any(
+            has_loss = any(
                 m in self.losses.dead
                 for m in self.formations.active[group.key].member_ids
             )
-            if not lost:
+            if not has_loss:
                 return True
             self.dissolve(group, "member lost while forming")
             return False
-        patience_s = TAKEOVER_GRACE_S
-        if seen.missing == 0:
-            # An earlier planner's group, on its way: loads take their time.
-            patience_s += LOAD_SLACK_FACTOR * model.load_s
-        return self._is_patient(group.key, patience_s) or self._dissolve_odd(group)
-
-    def _is_patient(self, key: Key, patience_s: float = TAKEOVER_GRACE_S) -> bool:
-        """Return whether a group that another planner left may still come right."""
-        since_s = self._odd_since_s.setdefault(key, self.timer.now_s())
-        return self.timer.now_s() - since_s < patience_s
-
-    def _dissolve_odd(self, group: ReplicaGroup) -> bool:
+        timeout_s = TAKEOVER_GRACE_S
+        if status.missing == 0:
+            # An earlier planner's group that is still forming: members may be loading.
+            timeout_s += LOAD_SLACK_FACTOR * model.load_s
+        return self._may_still_complete(
+            group.key, timeout_s
+        ) or self._dissolve_leftover(group)
+
+    def _may_still_complete(
+        self, key: Key, timeout_s: float = TAKEOVER_GRACE_S
+    ) -> bool:
+        """Return whether another planner's group may still open or be released."""
+        since_s = self._leftover_since_s.setdefault(key, self.timer.now_s())
+        return self.timer.now_s() - since_s < timeout_s
+
+    def _dissolve_leftover(self, group: ReplicaGroup) -> bool:
         self.dissolve(group, "left over from an earlier planner")
         return False
 
     def lost_formations(self) -> list[Key]:
-        """Return the formations that wait for a member which is known to be lost."""
+        """Return the formations with a member that is known to be lost."""
         return [
             key
             for key, formation in self.formations.active.items()
@@ -282,11 +293,11 @@
         ]
 
     def give_up(self, key: Key, group: ReplicaGroup | None) -> None:
-        """Give up a formation, so that its members may join another group.
+        """Abandon a formation, so that its members can join another group.
 
         Args:
             key: The formation's group.
-            group: The group as it is reported; None if nobody has joined it.
+            group: The group as its members report it; None if no member has joined.
         """
         formation = self.formations.active.pop(key, None)
         if formation is None:
@@ -296,29 +307,35 @@
             if group is None or member.membership is None:
                 self.losses.ask(member)
         if group is not None:
-            self._note_failure(group)
+            self._record_failure(group)
             self.dissolve(group, "not ready in time")
 
     def is_settled(self, group: ReplicaGroup) -> bool:
         """Return whether a group has served long enough to be given up."""
         since_s = self._serving_since_s.get(group.key)
-        return since_s is not None and self.timer.now_s() - since_s > SETTLED_S
+        return since_s is not None and self.timer.now_s() - since_s > MIN_SERVING_S
 
     def serving(self) -> list[ReplicaGroup]:
-        """Return the groups that serve, with the members they were seen with."""
+        """Return the serving groups with all their known members."""
         return [
-            ReplicaGroup(*key, dict(self._members_seen[key]))
+            ReplicaGroup(*key, dict(self._known_members[key]))
             for key in self._serving_since_s
-            if key in self._members_seen and not self.dissolutions.is_held(key)
+            if key in self._known_members and not self.dissolutions.is_held(key)
         ]
 
-    # Suspicions.
-
     def check_suspicions(self, groups: dict[Key, ReplicaGroup]) -> None:
+        """Probe the members of suspected groups, then dissolve or clear each group.
+
+        A group with a lost member is dissolved. A suspicion is cleared when every
+        member has answered a probe since, or when the group no longer exists.
+
+        Args:
+            groups: The groups as their members report them.
+        """
         for key, suspicion in list(self.view.shared.suspicions.items()):
             group = groups.get(key)
             if group is None or key in self.dissolutions.released:
-                self._clear(key)
+                self._clear_suspicion(key)
                 continue
             if self.dissolutions.is_held(key):
                 continue
@@ -329,9 +346,9 @@
             if any(m.backend_id in self.losses.dead for m in members):
                 self.dissolve(group, f"suspected by {suspicion.node_name}")
             elif all(self.losses.is_alive(m.backend_id, since_s) for m in members):
-                self._clear(key)
+                self._clear_suspicion(key)
 
-    def _clear(self, key: Key) -> None:
+    def _clear_suspicion(self, key: Key) -> None:
         if key in self._clearing:
             return
         self._clearing.add(key)
@@ -348,20 +365,24 @@
         self.view.shared.suspicions.pop(key, None)
 
     def forget(self) -> None:
-        """Forget what was seen while this node planned."""
+        """Clear the state from this node's time as the planner."""
         self.lost.forget()
         self._restarted.clear()
-        self._odd_since_s.clear()
+        self._leftover_since_s.clear()
         self._serving_since_s.clear()
         self._headless_since_s.clear()
         self._suspected_since_s.clear()
 
     def keep_only(self, keys: set[Key]) -> set[str]:
-        """Forget other groups; returns the members of those that are kept."""
+        """Drop the state of other groups.
+
+        Returns:
+            The ids of the members of the remaining groups.
+        """
         suspected = set(self.view.shared.suspicions)
         for known, kept in (
-            (self._members_seen, keys),
-            (self._odd_since_s, keys),
+            (self._known_members, keys),
+            (self._leftover_since_s, keys),
             (self._serving_since_s, keys),
             (self._headless_since_s, keys),
             (self._suspected_since_s, suspected),
@@ -371,10 +392,10 @@
         self._restarted &= keys
         return {
             m.backend_id
-            for members in self._members_seen.values()
+            for members in self._known_members.values()
             for m in members.values()
         }
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel pending removals."""
         await self._tasks.close()
--- a/packages/placement/src/fordhatch/placement/_group_recorder.py
+++ b/packages/placement/src/fordhatch/placement/_group_recorder.py
@@ -1,4 +1,4 @@
-"""Records in the store which groups serve, for nodes that start while entries lapse."""
+"""Store records of serving groups, for nodes that start while entries lapse."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
     record_key,
 )
 
-RECORD_EVERY_S = 1.0
-"""Time between writes: groups open and end every second or two on a bad day, and each
-write costs a call of the planner and one of the node that reads for the others."""
+WRITE_INTERVAL_S = 1.0
+"""Time between writes: under frequent faults, groups open and close every second or
+two, and each write costs a call of the planner and one of the reader."""
 
-MOST_ROWS = 100
-"""The store takes this many rows in one call."""
+MAX_ROWS_PER_CALL = 100
+"""Most rows that the store accepts in one call."""
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for the store; the next step tries again."""
+"""Timeout of a write; the next step retries it."""
 
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False, repr=False)
 class GroupRecorder:
-    """Brings the records into line with the groups that serve, a call at a time."""
+    """Update the records to match the serving groups, one call at a time."""
 
     store: StoreClient
     shared: SharedRows
@@ -41,32 +41,32 @@
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
     def step(self, serving: Iterable[ReplicaGroup], reported: set[Key]) -> None:
-        """Write what has changed, unless that was done a short time ago.
+        """Write the changes, unless the last write was too recent.
 
         Args:
             serving: Groups that serve, with all their members.
-            reported: Groups that any backend server reports a place in.
+            reported: Groups in which any backend server reports a membership.
         """
         now_s = self.timer.now_s()
-        if now_s - self._written_s < RECORD_EVERY_S:
+        if now_s - self._written_s < WRITE_INTERVAL_S:
             return
         known = self.shared.records
         new = [GroupRecord.from_group(g) for g in serving if g.key not in known]
-        gone = [key for key in known if key not in reported]
-        if not new and not gone:
+        outdated = [key for key in known if key not in reported]
+        if not new and not outdated:
             return
         self._written_s = now_s
-        self._tasks.spawn(self._write(new, gone), "record-groups")
+        self._tasks.spawn(self._write(new, outdated), "record-groups")
 
-    async def _write(self, new: list[GroupRecord], gone: list[Key]) -> None:
-        puts = {_row(*r.key): r.to_bytes() for r in new[:MOST_ROWS]}
-        removes = tuple(_row(*key) for key in gone[: MOST_ROWS - len(puts)])
+    async def _write(self, new: list[GroupRecord], outdated: list[Key]) -> None:
+        puts = {_row(*r.key): r.to_bytes() for r in new[:MAX_ROWS_PER_CALL]}
+        removes = tuple(_row(*key) for key in outdated[: MAX_ROWS_PER_CALL - len(puts)])
         written = await self.store.write({}, puts, removes, timeout_s=WRITE_TIMEOUT_S)
         if written.is_err():
             log_event("groups_not_recorded", error=written.err().message)
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel pending writes."""
         await self._tasks.close()
 
 
--- a/packages/placement/src/fordhatch/placement/_groups_seen.py
+++ b/packages/placement/src/fordhatch/placement/_group_status.py
@@ -1,4 +1,4 @@
-"""The groups as the backend servers report them, judged."""
+"""Classification of groups by the reports of their members."""
 
 from __future__ import annotations
 
@@ -12,40 +12,42 @@
 
 
 class GroupCondition(Enum):
-    """What a group needs."""
+    """State of a group, which determines the planner's next step for it."""
 
     SERVING = "serving"
     FORMING = "forming"
     COMPLETE = "complete"
     """Every member is ready; the head may be opened."""
     INCOMPLETE = "incomplete"
-    """A member is lost or somewhere else."""
+    """A member is lost or reports another group, or the head is broken."""
     LEAVING = "leaving"
-    """A member drains; the group is replaced before it goes."""
+    """A member drains; the group is replaced before that member leaves."""
     CLOSING = "closing"
 
 
 @attrs.frozen
-class GroupSeen:
-    """One group with its condition."""
+class GroupStatus:
+    """A group with its condition."""
 
     group: ReplicaGroup
     condition: GroupCondition
     missing: int
-    """Members that are lost or somewhere else."""
+    """Number of members that are lost or report another group."""
 
 
-def judge(group: ReplicaGroup, model: ModelProfile, dead: Set[str]) -> GroupSeen:
-    """Return the condition of a group.
+def assess_group(
+    group: ReplicaGroup, model: ModelProfile, dead: Set[str]
+) -> GroupStatus:
+    """Determine the condition of a group.
 
     Args:
         group: The group as its members report it.
         model: The model that it serves.
-        dead: Backend servers that are known to be lost though still listed.
+        dead: Backend servers that are known to be lost, though perhaps still listed.
     """
     present = [m for m in group.members.values() if m.backend_id not in dead]
     missing = model.size - len(present)
-    return GroupSeen(group, _condition(group, model, missing), missing)
+    return GroupStatus(group, _condition(group, model, missing), missing)
 
 
 def _condition(
@@ -59,8 +61,8 @@
         return GroupCondition.INCOMPLETE
     if missing > 0:
         # Members of an open group other than the head report that they are ready.
-        on_its_way = MemberState.JOINING in states or head_state is MemberState.READY
-        return GroupCondition.FORMING if on_its_way else GroupCondition.INCOMPLETE
+        is_forming = MemberState.JOINING in states or head_state is MemberState.READY
+        return GroupCondition.FORMING if is_forming else GroupCondition.INCOMPLETE
     if head_state is MemberState.CLOSING:
         return GroupCondition.CLOSING
     if any(m.state is BackendState.DRAINING for m in members):
--- a/packages/placement/src/fordhatch/placement/_layout.py
+++ b/packages/placement/src/fordhatch/placement/_layout.py
@@ -1,4 +1,4 @@
-"""Which group to form next, and from which backend servers."""
+"""Choice of the next group to form, and of its backend servers."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from ._group_need import group_need
 
 REJOIN_S = 0.2
-"""A backend server whose last group served the same model joins in this time."""
+"""Time in which a backend server joins a group of the model that it last served."""
 
-READINESS_SHARE = 0.5
-"""What a backend server that could join a model's groups without a load counts for,
-as a share of its place there: about every second one is needed before it is lost,
-and making another one ready takes one of the few loads."""
+READINESS_FRACTION = 0.5
+"""Value of a backend server that can join a model's groups without a load, as a
+fraction of the value of a member: about every second one is needed before it is lost,
+and preparing a substitute takes one of the few loads."""
 
-LEAST_TARGET = 0.01
-"""Groups wanted of a model that nobody asks for: more than none, so that a group of
-it is formed before backend servers stand idle."""
+MIN_TARGET_GROUPS = 0.01
+"""Target for a model without requests: above zero, so that a group of it is formed
+before backend servers stay idle."""
 
-LEAST_WORK = 0.003
-"""The work of a model that nobody asks for, in full groups, for the same reason."""
+MIN_BUSY_GROUPS = 0.003
+"""Work assumed for a model without requests, in full groups, for the same reason."""
 
 HORIZON_S = 15.0
-"""Over this time a new group's service is weighed against the time until it opens;
-a group lives about this long before one of its members is lost."""
+"""Time over which the service of a new group is weighed against its delay until it
+opens: a group serves for about this long before it loses a member."""
 
 
 @attrs.frozen
@@ -46,65 +46,67 @@
 
 @attrs.define
 class Layout:
-    """The groups of one service as the planner counts them."""
+    """Count the groups of one service and compute the value of further ones."""
 
     profile: EngineProfile
     last_model: Mapping[str, str]
     """Model of each backend server's last group."""
     held_off: frozenset[str] = frozenset()
-    """Models of which no group should be formed now."""
+    """Models for which forming groups is paused."""
     counts: Counter[str] = attrs.field(factory=Counter)
-    """Groups by model, those that are being formed included."""
-    spread: Counter[tuple[str, str]] = attrs.field(factory=Counter)
-    """Groups by domain and model."""
+    """Groups by model, including those that are being formed."""
+    counts_by_domain: Counter[tuple[str, str]] = attrs.field(factory=Counter)
+    """Groups by fabric domain and model."""
     backends: int = 0
-    """Backend servers that are in a group or could be."""
+    """Backend servers that are in a group or can join one."""
     domain_sizes: Counter[str] = attrs.field(factory=Counter)
-    """The same by domain."""
+    """The same by fabric domain."""
     busy_groups: Mapping[str, float] | None = None
-    """Full groups that the work of each model's callers fills; None where nothing is
-    known but what is declared."""
+    """Work of each model's callers, in full groups; None if only the declared shares
+    are known."""
     missing: Counter[str] = attrs.field(factory=Counter)
-    """Groups of each model that are missing on average because members were lost."""
+    """Average number of missing groups of each model after losses of members."""
     _declared: Mapping[str, float] = attrs.field(factory=dict, init=False)
-    _needs: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
-    """What one more group of a model is worth at a number of groups; a step of the
-    planner asks some hundred times for the same few."""
+    _need_cache: dict[tuple[str, int], float] = attrs.field(factory=dict, init=False)
+    """Cache of ``need`` by model and number of groups; a step of the planner requests
+    the same few values some hundred times."""
 
     def count_backends(self, backends: Collection[BackendServer]) -> None:
-        """Count the backend servers that are in a group or could be."""
+        """Count the backend servers that are in a group or can join one."""
         self.backends = len(backends)
         self.domain_sizes = Counter(b.domain for b in backends)
         self._declared = {}
-        self._needs.clear()
+        self._need_cache.clear()
 
     def add(self, model: str, domain: str) -> None:
-        """Count a group."""
+        """Add a group to the counts."""
         self.counts[model] += 1
-        self.spread[domain, model] += 1
+        self.counts_by_domain[domain, model] += 1
 
     def with_more(self, groups: Counter[str]) -> Layout:
-        """Return the layout as it would be with more groups of some models."""
+        """Return a copy of the layout with additional groups."""
         return attrs.evolve(self, counts=self.counts + groups)
 
     def remove(self, model: str, domain: str) -> None:
-        """Count a group no more."""
+        """Remove a group from the counts."""
         self.counts[model] -= 1
-        self.spread[domain, model] -= 1
+        self.counts_by_domain[domain, model] -= 1
 
     def target(self, model: ModelProfile) -> float:
-        """Return how many groups of a model are wanted.
+        """Return the target number of groups of a model.
 
-        Either so many are declared, or its share of the work decides.
+        It is the declared number, or else follows the model's fraction of the work.
         """
         if model.wanted_groups is not None:
-            return max(float(model.wanted_groups), LEAST_TARGET)
-        total = sum(self._work(m) * m.size for m in self.profile.models) or 1.0
-        share = self._work(model) * model.size / total
-        return max(share * self.backends / model.size, LEAST_TARGET)
-
-    def _work(self, model: ModelProfile) -> float:
-        """Return the full groups that the work of a model's callers fills."""
+            return max(float(model.wanted_groups), MIN_TARGET_GROUPS)
+        total = (
+            sum(self._busy_groups_of(m) * m.size for m in self.profile.models) or 1.0
+        )
+        fraction = self._busy_groups_of(model) * model.size / total
+        return max(fraction * self.backends / model.size, MIN_TARGET_GROUPS)
+
+    def _busy_groups_of(self, model: ModelProfile) -> float:
+        """Return the work of a model's callers, in full groups."""
         if self.busy_groups is not None:
             return self.busy_groups.get(model.name, 0.0)
         if not self._declared:
@@ -112,56 +114,57 @@
         return self._declared[model.name]
 
     def lacks_groups(self) -> bool:
-        """Return whether some declared model has fewer groups than are wanted."""
+        """Return whether some declared model has fewer groups than its target."""
         return any(self.lacks(m) for m in self.profile.models)
 
     def lacks(self, model: ModelProfile) -> bool:
-        """Return whether a model has fewer groups than are wanted."""
+        """Return whether a model has fewer groups than its target."""
         return self.counts[model.name] < int(self.target(model) + 0.5)
 
     def need(self, model: ModelProfile, change: int = 0) -> float:
-        """Return what one more group of a model is worth.
+        """Return the value of one more group of a model.
 
         Args:
             model: The model.
-            change: Groups more or fewer than there are now.
+            change: Difference from the current number of groups.
         """
         count = self.counts[model.name] + change
-        known = self._needs.get((model.name, count))
-        if known is None:
-            known = self._needs[model.name, count] = self._need_at(model, count)
-        return known
+        need = self._need_cache.get((model.name, count))
+        if need is None:
+            need = self._need_cache[model.name, count] = self._need_at(model, count)
+        return need
 
     def _need_at(self, model: ModelProfile, count: int) -> float:
         if model.most_groups is not None and count >= model.most_groups:
             return 0.0
-        work = max(self._work(model), LEAST_WORK)
+        work = max(self._busy_groups_of(model), MIN_BUSY_GROUPS)
         return model.weight * group_need(work, count, self.missing[model.name])
 
     def value(self, plan: GroupPlan) -> float:
-        """Return what a group is worth, less for the time until it opens.
+        """Return the value of a group, discounted by the time until it opens.
 
-        What its members could have done for other models without a load is taken
-        off: survivors of a scarce model's group may be worth more as they are.
+        The value that its members have for other models without a load is
+        subtracted: survivors of a scarce model's group may be worth more for that
+        model.
         """
         worth = self.need(plan.model) * HORIZON_S / (HORIZON_S + plan.ready_in_s)
-        return worth - sum(self.given_up(m, plan.model) for m in plan.members)
+        return worth - sum(self.opportunity_cost(m, plan.model) for m in plan.members)
 
-    def given_up(self, backend: BackendServer, model: ModelProfile) -> float:
-        """Return what a backend server loses for other models by joining a group.
+    def opportunity_cost(self, backend: BackendServer, model: ModelProfile) -> float:
+        """Return the value that a backend server loses for other models by joining.
 
-        It can rejoin groups of its last model and join those of staged ones; a join
-        changes its last model and leaves what is staged.
+        Without a load it can join groups of its last model and of staged models. A
+        join changes its last model; staged weights remain.
         """
         last = self.profile.model(self.last_model.get(backend.backend_id, ""))
         if last is None or last == model or last.name in backend.staged_models:
             return 0.0
         if self.domain_sizes[backend.domain] < last.size:
             return 0.0
-        return READINESS_SHARE * self.need(last) / last.size
+        return READINESS_FRACTION * self.need(last) / last.size
 
     def join_time_s(self, backend: BackendServer, model: ModelProfile) -> float:
-        """Return how long a backend server needs to join a group of a model."""
+        """Return the time in seconds that a backend server needs to join a group."""
         if self.last_model.get(backend.backend_id) == model.name:
             return REJOIN_S
         if model.name in backend.staged_models:
@@ -169,25 +172,25 @@
         return model.load_s
 
     def must_load(self, backend: BackendServer, model: ModelProfile) -> bool:
-        """Return whether joining a group of a model means a load of its weights."""
-        known = self.last_model.get(backend.backend_id) == model.name
-        return not known and model.name not in backend.staged_models
+        """Return whether a backend server must load the weights to join a group."""
+        is_last = self.last_model.get(backend.backend_id) == model.name
+        return not is_last and model.name not in backend.staged_models
 
 
 def by_domain(backends: Iterable[BackendServer]) -> dict[str, list[BackendServer]]:
-    """Return the backend servers of each fabric domain."""
-    found: dict[str, list[BackendServer]] = {}
+    """Group backend servers by fabric domain."""
+    domains: dict[str, list[BackendServer]] = {}
     for backend in backends:
-        found.setdefault(backend.domain, []).append(backend)
-    return found
+        domains.setdefault(backend.domain, []).append(backend)
+    return domains
 
 
 class FreeBackends:
-    """Backend servers that are in no group, and what each domain's could form.
+    """Backend servers that are in no group, and the best plans by domain and model.
 
-    Forming one group changes what its own domain can do and no other one's, so that
-    the first layout of 925 backend servers costs a fifth of working all of it out
-    anew for each group.
+    Forming a group changes only the plans of its own domain. Plans of other domains
+    stay cached, which cuts the cost of the first layout of 925 backend servers to a
+    fifth.
     """
 
     def __init__(self, backends: Iterable[BackendServer]) -> None:
@@ -195,20 +198,20 @@
         self._plans: dict[tuple[str, str], GroupPlan | None] = {}
 
     def domains(self) -> list[str]:
-        """Return the domains that have any, in a fixed order."""
+        """Return the domains with free backend servers, in a fixed order."""
         return sorted(self._domains)
 
     def plan(
         self, layout: Layout, model: ModelProfile, domain: str
     ) -> GroupPlan | None:
-        """Return the quickest group of a model in a domain, if it has enough."""
+        """Return the group of a model that a domain can open first, or None."""
         key = domain, model.name
         if key not in self._plans:
             self._plans[key] = _plan(layout, model, self._domains[domain])
         return self._plans[key]
 
     def take(self, plan: GroupPlan) -> None:
-        """Take the members of a group that is being formed out."""
+        """Remove the members of a group that is being formed."""
         domain = plan.members[0].domain
         taken = {m.backend_id for m in plan.members}
         left = [b for b in self._domains.pop(domain) if b.backend_id not in taken]
@@ -217,7 +220,7 @@
         self._plans = {k: p for k, p in self._plans.items() if k[0] != domain}
 
     def all(self) -> list[BackendServer]:
-        """Return every one that is left."""
+        """Return all remaining backend servers."""
         return [b for backends in self._domains.values() for b in backends]
 
 
@@ -228,28 +231,28 @@
     is_first_layout: bool = False,
     only_model: str | None = None,
 ) -> GroupPlan | None:
-    """Return the most useful group that can be formed from free backend servers.
+    """Return the most valuable group that free backend servers can form.
 
     Args:
-        layout: The groups that there are.
+        layout: The current groups.
         free: Backend servers that are in no group.
-        is_first_layout: Nothing serves yet and loads are quick: members may load,
+        is_first_layout: No group serves yet and loads are quick: members may load,
             and whole domains are filled, large groups first, so that no domain is
-            left with too few for a group.
-        only_model: Consider no other model.
+            left with too few backend servers for a group.
+        only_model: The only model to consider; all models if None.
 
     Returns:
-        The group, or None where none can be formed without loads, or none that is
-        worth more than what its members could do otherwise. Where loads are needed,
-        weights are staged first: that leaves the backend server free.
+        The group, or None if every group needs loads or is worth less than its
+        members are elsewhere. Where loads are needed, weights are staged first, since
+        staging leaves the backend server free.
     """
     if not isinstance(free, FreeBackends):
         free = FreeBackends(free)
     if is_first_layout:
         for model in _below_target(layout):
-            found = _best_plan(layout, free, (model,), may_load=True)
-            if found is not None:
-                return found
+            plan = _best_plan(layout, free, (model,), may_load=True)
+            if plan is not None:
+                return plan
     models = tuple(
         m
         for m in layout.profile.models
@@ -271,14 +274,14 @@
             plan = free.plan(layout, model, domain)
             if plan is None or (plan.loads and not may_load):
                 continue
-            rank = layout.value(plan), -layout.spread[domain, model.name]
+            rank = layout.value(plan), -layout.counts_by_domain[domain, model.name]
             if rank[0] > 0 and (best is None or rank > best[:2]):
                 best = *rank, plan
     return best[2] if best is not None else None
 
 
 def _below_target(layout: Layout) -> list[ModelProfile]:
-    """Return the models that lack groups, those with the largest groups first."""
+    """Return the models below their target, those with the largest groups first."""
     lacking = [
         m
         for m in layout.profile.models
@@ -296,7 +299,7 @@
 
     def order(backend: BackendServer) -> tuple[float, float, str]:
         join_s = layout.join_time_s(backend, model)
-        return join_s, layout.given_up(backend, model), backend.backend_id
+        return join_s, layout.opportunity_cost(backend, model), backend.backend_id
 
     members = tuple(sorted(backends, key=order)[: model.size])
     ready_in_s = max(layout.join_time_s(b, model) for b in members)
--- a/packages/placement/src/fordhatch/placement/_load_budget.py
+++ b/packages/placement/src/fordhatch/placement/_load_budget.py
@@ -1,4 +1,4 @@
-"""Keeps loads of weights below the rate that the weight store allows."""
+"""Rate limit for loads of weights from the weight store."""
 
 from __future__ import annotations
 
@@ -8,36 +8,39 @@
 
 from fordhatch.core import Timer
 
-SAFETY_SHARE = 0.8
-"""Share of the allowed rate that is used: orders may begin later than they are
+USED_FRACTION = 0.8
+"""Fraction of the allowed rate that is used: loads may begin after their orders are
 sent, and an earlier planner may have sent some."""
 
 
 @attrs.define(eq=False, repr=False)
 class LoadBudget:
-    """Loads that this planner has begun within the window."""
+    """Count the loads that this planner has started within the window."""
 
     timer: Timer
     window_s: float
-    _begun: deque[float] = attrs.field(factory=deque)
+    _started_s: deque[float] = attrs.field(factory=deque)
 
     def take(self, loads_per_s: float, count: int) -> bool:
-        """Take loads from the budget; returns False where they don't fit.
+        """Reserve loads if the rate allows them.
 
         Args:
             loads_per_s: The rate that the weight store allows.
-            count: Loads that would begin now.
+            count: Number of loads to start now.
+
+        Returns:
+            Whether the loads were reserved.
         """
         now_s = self.timer.now_s()
-        while self._begun and self._begun[0] <= now_s - self.window_s:
-            self._begun.popleft()
-        allowed = loads_per_s * self.window_s * SAFETY_SHARE
-        if len(self._begun) + count > allowed:
+        while self._started_s and self._started_s[0] <= now_s - self.window_s:
+            self._started_s.popleft()
+        allowed = loads_per_s * self.window_s * USED_FRACTION
+        if len(self._started_s) + count > allowed:
             return False
-        self._begun.extend([now_s] * count)
+        self._started_s.extend([now_s] * count)
         return True
 
     def fill(self, loads_per_s: float) -> None:
-        """Count as if the whole window were used, by an earlier planner."""
-        count = int(loads_per_s * self.window_s * SAFETY_SHARE)
-        self._begun.extend([self.timer.now_s()] * count)
+        """Mark the window as used up by an earlier planner."""
+        count = int(loads_per_s * self.window_s * USED_FRACTION)
+        self._started_s.extend([self.timer.now_s()] * count)
--- a/packages/placement/src/fordhatch/placement/_lost_groups.py
+++ b/packages/placement/src/fordhatch/placement/_lost_groups.py
@@ -1,8 +1,8 @@
-"""How many groups of each model are missing on average because members were lost.
+"""Average number of missing groups of each model after losses of members.
 
-A group of twelve is lost three times as often as one of four, and heals more slowly, as
-more of its domain must be ready. How often and how slowly differs from day to day, so
-that it is observed: a lost group counts until another one of its model opens.
+A group of twelve is lost three times as often as one of four and takes longer to
+replace, since more of its domain must be ready. Rates of loss and replacement vary, so
+they are observed: a lost group counts as missing until another of its model opens.
 """
 
 from __future__ import annotations
@@ -12,66 +12,69 @@
 
 import attrs
 
-AVERAGE_S = 15.0
-"""Time over which missing groups are averaged: losses come every few seconds in bad
-times, and some of them must fall into it."""
+AVERAGING_TIME_S = 15.0
+"""Averaging time of missing groups: with losses every few seconds, it must cover some
+of them."""
 
-FORGOTTEN_S = 12.0
-"""A lost group that nothing has replaced for this long is no longer missing: the layout
-has settled without it."""
+MAX_MISSING_S = 12.0
+"""A lost group without a replacement for this long no longer counts as missing: the
+layout has settled without it."""
 
-
-ONE_LOSS = 0.25
-"""Groups that are missing on average right after a single loss that took some four
-seconds to heal."""
+SINGLE_LOSS_AVERAGE = 0.25
+"""Average of missing groups right after a single loss with a replacement after about
+four seconds."""
 
 
 @attrs.define(eq=False, repr=False)
 class LostGroups:
-    """Groups that were lost and not replaced yet, by model, and their average."""
+    """Track lost groups without a replacement, by model, and their average number."""
 
-    _lost_s: dict[str, deque[float]] = attrs.field(factory=dict)
-    """When the groups were lost that are missing, the oldest first."""
+    _lost_at_s: dict[str, deque[float]] = attrs.field(factory=dict)
+    """Times of loss of the groups that are missing, the oldest first."""
     _missing: dict[str, float] = attrs.field(factory=dict)
-    _last_s: float = math.nan
+    _last_step_s: float = math.nan
 
-    def lost(self, model: str, now_s: float) -> None:
-        """Note that a group of a model was lost."""
-        self._lost_s.setdefault(model, deque()).append(now_s)
+    def record_lost(self, model: str, now_s: float) -> None:
+        """Record the loss of a group."""
+        self._lost_at_s.setdefault(model, deque()).append(now_s)
 
-    def opened(self, model: str) -> None:
-        """Note that another group of a model has opened."""
-        lost_s = self._lost_s.get(model)
-        if lost_s:
-            lost_s.popleft()
+    def record_opened(self, model: str) -> None:
+        """Record that a group has opened; it replaces the oldest lost one."""
+        lost_at_s = self._lost_at_s.get(model)
+        if lost_at_s:
+            lost_at_s.popleft()
 
     def step(self, now_s: float) -> None:
-        """Follow the average."""
-        passed_s = 0.0 if math.isnan(self._last_s) else now_s - self._last_s
-        weight = -math.expm1(-max(passed_s, 0.0) / AVERAGE_S)
-        self._last_s = now_s
-        for model, lost_s in self._lost_s.items():
-            while lost_s and now_s - lost_s[0] > FORGOTTEN_S:
-                lost_s.popleft()
-            known = self._missing.get(model, 0.0)
-            self._missing[model] = known + weight * (len(lost_s) - known)
+        """Update the averages."""
+        passed_s = 0.0 if math.isnan(self._last_step_s) else now_s - self._last_step_s
+        weight = -math.expm1(-max(passed_s, 0.0) / AVERAGING_TIME_S)
+        self._last_step_s = now_s
+        for model, lost_at_s in self._lost_at_s.items():
+            while lost_at_s and now_s - lost_at_s[0] > MAX_MISSING_S:
+                lost_at_s.popleft()
+            average = self._missing.get(model, 0.0)
+            self._missing[model] = average + weight * (len(lost_at_s) - average)
 
     def missing(self) -> Counter[str]:
-        """Return how many groups of each model are missing on average."""
+        """Return the average number of missing groups of each model."""
         return Counter(self._missing)
 
     def beyond_chance(self) -> Counter[str]:
-        """Return how many are missing beyond what a single loss explains.
+        """Return the average number of missing groups, less the effect of one loss.
 
-        One loss says nothing of how often groups are lost: after it, groups of
-        another model gave way for a third one of two.
+        A single loss does not indicate a rate of losses. Without this correction,
+        groups of another model were given up for a third group of a model that has
+        work for two.
         """
         return Counter(
-            {model: max(m - ONE_LOSS, 0.0) for model, m in self._missing.items()}
+            {
+                model: max(m - SINGLE_LOSS_AVERAGE, 0.0)
+                for model, m in self._missing.items()
+            }
         )
 
     def forget(self) -> None:
-        """Forget everything; another planner goes on."""
-        self._lost_s.clear()
+        """Clear all state when another planner takes over."""
+        self._lost_at_s.clear()
         self._missing.clear()
-        self._last_s = math.nan
+        self._last_step_s = math.nan
--- a/packages/placement/tests/test_crash_loops.py
+++ b/packages/placement/tests/test_crash_loops.py
@@ -1,4 +1,4 @@
-"""Pattern: a model ends each backend server that joins a group for it."""
+"""Models that crash each backend server that joins one of their groups."""
 
 from __future__ import annotations
 
@@ -6,56 +6,56 @@
 
 from fordhatch.core import Timer
 from fordhatch.placement._crash_loops import (
-    FAILURES_IN_A_ROW,
-    PAUSE_FIRST_S,
-    PAUSE_MOST_S,
+    FIRST_PAUSE_S,
+    MAX_CONSECUTIVE_FAILURES,
+    MAX_PAUSE_S,
     CrashLoops,
 )
 
-WATCHED_S = 90.0
+OBSERVATION_S = 90.0
 
 
-def test_pauses_grow_and_end_with_a_group_that_opens(monkeypatch) -> None:
+def test_pauses_grow_and_end_when_a_group_opens(monkeypatch) -> None:
     now = [100.0]
     monkeypatch.setattr(Timer, "now_s", lambda self: now[0])
     loops = CrashLoops(Timer())
-    for _ in range(FAILURES_IN_A_ROW - 1):
-        loops.failed("m")
+    for _ in range(MAX_CONSECUTIVE_FAILURES - 1):
+        loops.record_failure("m")
     assert loops.held_off() == frozenset()
-    loops.failed("m")
+    loops.record_failure("m")
     assert loops.held_off() == {"m"}
-    now[0] += PAUSE_FIRST_S + 0.1
+    now[0] += FIRST_PAUSE_S + 0.1
     assert loops.held_off() == frozenset()
-    loops.failed("m")
-    now[0] += PAUSE_FIRST_S + 0.1
+    loops.record_failure("m")
+    now[0] += FIRST_PAUSE_S + 0.1
     assert loops.held_off() == {"m"}
     for _ in range(20):
-        loops.failed("m")
-    now[0] += PAUSE_MOST_S - 0.1
+        loops.record_failure("m")
+    now[0] += MAX_PAUSE_S - 0.1
     assert loops.held_off() == {"m"}
-    loops.opened("m")
+    loops.record_opened("m")
     assert loops.held_off() == frozenset()
-    loops.failed("m")
+    loops.record_failure("m")
     assert loops.held_off() == frozenset()
 
 
-def test_a_model_that_ends_its_members_leaves_the_others_alone() -> None:
+def test_a_model_that_crashes_its_members_leaves_the_others_alone() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         big = len(engines_of(site, "big"))
         site.fleet.ends_on_join.add("small")
         for engine in engines_of(site, "small"):
             site.fleet.crash(engine)
-        await site.watch(WATCHED_S)
-        # Two for each formation, of which four come before the first pause; 200 ended
-        # in this time, and one group of the other model was left, without pauses.
-        assert 2 * FAILURES_IN_A_ROW <= site.fleet.ended_on_join <= 30
+        await site.watch(OBSERVATION_S)
+        # Two crashes per formation, and four formations before the first pause. Without
+        # pauses, 200 crashed in this time, and one group of the other model was left.
+        assert 2 * MAX_CONSECUTIVE_FAILURES <= site.fleet.ended_on_join <= 30
         assert len(engines_of(site, "big")) >= big
 
     play(scenario)
 
 
-def test_a_model_that_was_mended_is_served_again() -> None:
+def test_a_repaired_model_is_served_again() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         site.fleet.ends_on_join.add("small")
@@ -63,6 +63,6 @@
             site.fleet.crash(engine)
         await site.watch(30.0)
         site.fleet.ends_on_join.clear()
-        await site.until(lambda: len(engines_of(site, "small")) >= 2, PAUSE_MOST_S)
+        await site.until(lambda: len(engines_of(site, "small")) >= 2, MAX_PAUSE_S)
 
     play(scenario)
--- a/packages/placement/tests/test_group_need.py
+++ b/packages/placement/tests/test_group_need.py
@@ -1,8 +1,8 @@
-"""Where groups go when models' work, and their losses, are unlike the declared shares.
+"""Distribution of groups where work and losses differ from the declared shares.
 
-The load that it answers: two models, groups of twelve and of six, shares declared
-equal; the smaller one gets nine tenths of the tokens. Six fabric domains of 27 hold one
-group of twelve and two of six each, or four of six.
+Two models have groups of twelve and of six and equal declared shares; the smaller one
+gets nine tenths of the tokens. Each of six fabric domains of 27 backend servers holds
+one group of twelve and two of six, or four of six.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 DOMAINS = 6
 LARGE_WORK, SMALL_WORK = 1.6, 6.4
-"""Full groups: 24 requests a second of 67 ms, and 158 of 41 ms."""
+"""Work in full groups: 24 requests per second of 67 ms, and 158 of 41 ms."""
 ADVANTAGE = 1.3
 
 
 def split(
     large_work: float, small_work: float, missing: float, start: int = DOMAINS
 ) -> int:
-    """Return how many groups of twelve are left when all have moved that should."""
+    """Return how many groups of twelve remain after all worthwhile conversions."""
     large, small = start, 4 * DOMAINS - 2 * start
     while large > 1:
         gain = group_need(small_work, small, missing)
@@ -34,26 +34,26 @@
     assert split(LARGE_WORK, SMALL_WORK, 0.0) in (3, 4, 5)
 
 
-def test_a_burst_of_the_smaller_model_gets_more_of_them() -> None:
+def test_a_burst_of_the_smaller_model_moves_more_groups_to_it() -> None:
     calm = split(LARGE_WORK, SMALL_WORK, 0.3)
     burst = split(LARGE_WORK, 2.6 * SMALL_WORK, 0.3)
     assert 1 < burst < calm
 
 
-def test_where_groups_are_lost_all_the_time_fewer_give_way() -> None:
+def test_under_steady_losses_fewer_groups_are_converted() -> None:
     calm = split(LARGE_WORK, SMALL_WORK, 0.0)
     lossy = split(LARGE_WORK, SMALL_WORK, 1.5)
     assert lossy > calm
 
 
-def test_a_wave_of_a_fifth_moves_one_group_at_the_most() -> None:
+def test_a_wave_of_a_fifth_moves_at_most_one_group() -> None:
     low = split(LARGE_WORK * 1.2, SMALL_WORK * 0.8, 0.3)
     high = split(LARGE_WORK * 0.8, SMALL_WORK * 1.2, 0.3)
     assert 0 <= low - high <= 1
 
 
 @pytest.mark.parametrize("missing", [0.0, 0.5, 2.0])
-def test_what_gave_way_in_a_wave_does_not_come_back_in_the_next(
+def test_a_wave_does_not_revert_a_conversion(
     missing: float,
 ) -> None:
     large = split(LARGE_WORK, SMALL_WORK, missing)
@@ -66,7 +66,7 @@
         assert gain < ADVANTAGE * loss
 
 
-def test_the_first_group_goes_before_the_eighth_of_another_model() -> None:
+def test_a_first_group_is_worth_more_than_an_eighth_of_another_model() -> None:
     assert group_need(1.0, 0, 0.0) > group_need(4.0, 7, 0.0)
 
 
--- a/packages/placement/tests/test_healing.py
+++ b/packages/placement/tests/test_healing.py
@@ -1,4 +1,4 @@
-"""Groups that lose members, or whose members the store does not hear."""
+"""Groups that lose members, or whose members cannot reach the store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from planning_site import Site, engines_of, head_and_member, play, standard_site
 
 from fordhatch.adapter import BACKENDS_TABLE, GroupOrder, OrderKind
-from fordhatch.placement._group_care import UNLISTED_WORK_S
+from fordhatch.placement._group_care import UNLISTED_HEAD_GRACE_S
 from fordhatch.registry import SHARED_TABLE, slow_key
 
 
@@ -23,14 +23,14 @@
         spare.staged = [model]
         site.fleet._publish(spare)
         took_s = await site.until(lambda: site.working() >= before, 8)
-        # The entry lapses after 3.6 s; probes, leaving, joining and opening follow.
+        # The entry lapses after 3.6 s; probes, leaves, joins and the opening follow.
         assert took_s < 3.6 + 2.6
         assert site.fleet.loads - loads <= 8
 
     play(scenario)
 
 
-def test_a_group_goes_on_when_a_member_is_only_out_of_the_stores_reach() -> None:
+def test_a_group_keeps_serving_when_a_member_only_loses_the_store() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         before = {e.place.group for e in engines_of(site, "big")}
@@ -42,8 +42,8 @@
     play(scenario)
 
 
-def test_a_group_whose_member_has_left_is_given_up() -> None:
-    """It is listed without its place: asking it for a sign of life proves nothing."""
+def test_a_group_whose_member_has_left_is_dissolved() -> None:
+    """The member is listed without its place: answering a probe proves nothing."""
 
     async def scenario(site: Site) -> None:
         await standard_site(site)
@@ -64,7 +64,7 @@
     play(scenario)
 
 
-def test_leftovers_of_two_broken_groups_make_one() -> None:
+def test_survivors_of_two_broken_groups_form_one() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
         before = site.fleet.working_groups()["small"]
@@ -80,33 +80,33 @@
     play(scenario)
 
 
-def test_a_dark_domain_that_comes_back_serves_again() -> None:
+def test_a_recovered_dark_domain_serves_again() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site)
         before = site.working()
-        gone = [e for e in site.fleet.engines.values() if e.domain == "d1"]
-        for engine in gone:
+        dark = [e for e in site.fleet.engines.values() if e.domain == "d1"]
+        for engine in dark:
             site.fleet.kill(engine)
         await site.watch(8)
         assert site.working() < before
-        for engine in gone:
-            back = site.fleet.add("d1")
-            back.staged = list(engine.staged)
-            site.fleet._publish(back)
+        for engine in dark:
+            replacement = site.fleet.add("d1")
+            replacement.staged = list(engine.staged)
+            site.fleet._publish(replacement)
         took_s = await site.until(lambda: site.working() >= before, 30)
         assert took_s < 6.0
 
     play(scenario)
 
 
-def test_a_head_that_is_no_longer_listed_finishes_its_streams() -> None:
+def test_an_unlisted_head_finishes_its_streams() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, nodes=1)
         before = site.working()
         head, _ = head_and_member(site, "small")
         place = head.place
         site.store.remove(BACKENDS_TABLE, head.backend_id)
-        await site.watch(UNLISTED_WORK_S - 0.2)
+        await site.watch(UNLISTED_HEAD_GRACE_S - 0.2)
         assert head.place == place
         await site.until(lambda: head.place is None, 3)
         await site.until(lambda: site.working() >= before - 1, 5)
@@ -114,7 +114,7 @@
     play(scenario)
 
 
-def test_a_group_whose_head_is_listed_again_soon_is_kept() -> None:
+def test_a_group_whose_head_is_soon_listed_again_is_kept() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, nodes=1)
         head, _ = head_and_member(site, "small")
@@ -128,25 +128,23 @@
     play(scenario)
 
 
-def test_a_head_that_is_no_longer_listed_and_does_not_answer_is_not_waited_for() -> (
-    None
-):
+def test_an_unlisted_head_that_does_not_answer_is_given_up_early() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, nodes=1)
         head, member = head_and_member(site, "small")
         site.fleet.kill(head)
         site.store.remove(BACKENDS_TABLE, head.backend_id)
         took_s = await site.until(lambda: member.place is None, 8)
-        assert took_s < UNLISTED_WORK_S - 0.3
+        assert took_s < UNLISTED_HEAD_GRACE_S - 0.3
 
     play(scenario)
 
 
-def test_a_dead_spare_that_is_still_listed_holds_nobody_for_long() -> None:
-    """Pattern: an outage of the store, whose list names the dead for its whole length.
+def test_a_dead_spare_that_is_still_listed_delays_a_formation_briefly() -> None:
+    """Pattern: during an outage of the store, dead backend servers stay listed.
 
-    A formation waits 2.2 s and more for a member; asking all of them first takes a
-    probe's 0.15 s, and the next choice leaves the dead one out.
+    A formation waits 2.2 s or more for a member. Probing all members first takes
+    0.15 s, and the next plan excludes the dead one.
     """
 
     async def scenario(site: Site) -> None:
@@ -171,11 +169,11 @@
     play(scenario)
 
 
-def test_leftovers_of_a_released_group_are_free_for_the_next_planner() -> None:
-    """Pattern: a planner is lost with survivors that nobody could use yet.
+def test_survivors_of_a_released_group_are_free_for_the_next_planner() -> None:
+    """Pattern: a planner is lost while survivors of a group wait for a new group.
 
-    The next one can't know that their head had left; it would hold them until the head
-    must have broken, six seconds after they let go.
+    The next planner cannot know that their head had left. It would hold them until the
+    head must have broken, six seconds after they were released.
     """
 
     async def scenario(site: Site) -> None:
@@ -200,7 +198,7 @@
 
 
 def test_a_new_planner_knows_the_lost_head_of_a_single_survivor() -> None:
-    """Pattern: a planner is lost between a release and the leaving of its members."""
+    """Pattern: a planner is lost after a group's release, before all members left."""
 
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1)
@@ -216,13 +214,13 @@
         before = site.working()
         took_s = await site.until(lambda: site.working() > before, 12)
         assert member.place is not None
-        # Until the lease has run out, and a join and an opening.
+        # The lease expires; a join and an opening follow.
         assert took_s < 4.0
 
     play(scenario)
 
 
-def test_a_slow_member_is_asked_until_it_is_well() -> None:
+def test_a_slow_member_is_polled_until_it_has_recovered() -> None:
     """Pattern: a member works 4 to 12 times slower for 5 to 9 s and recovers."""
 
     async def scenario(site: Site) -> None:
@@ -242,7 +240,7 @@
     play(scenario)
 
 
-def test_a_slow_backend_that_is_gone_is_forgotten() -> None:
+def test_the_row_of_an_unlisted_slow_backend_is_removed() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1, nodes=1)
         site.store.put(SHARED_TABLE, slow_key("i-gone"), b"12")
@@ -253,8 +251,8 @@
     play(scenario)
 
 
-def test_a_slow_member_is_kept_out_of_groups_until_it_is_well() -> None:
-    """Pattern: stragglers of 4 to 12 times the usual pace, a spare in the domain."""
+def test_a_slow_member_joins_no_group_until_it_has_recovered() -> None:
+    """Pattern: members 4 to 12 times slower than usual, with a spare in the domain."""
 
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=2, nodes=1)
@@ -276,7 +274,7 @@
     play(scenario)
 
 
-def test_the_last_group_of_a_model_serves_on_with_a_slow_member() -> None:
+def test_the_last_group_of_a_model_keeps_serving_with_a_slow_member() -> None:
     async def scenario(site: Site) -> None:
         await standard_site(site, domains=1, nodes=1)
         head, member = head_and_member(site, "big")
--- a/packages/placement/tests/test_layout.py
+++ b/packages/placement/tests/test_layout.py
@@ -43,21 +43,21 @@
     assert choose_group(layout(), free) is None
 
 
-def test_nobody_loads_in_a_join_once_groups_serve() -> None:
+def test_no_join_needs_a_load_once_groups_serve() -> None:
     free = [backend("a"), backend("b")]
     assert choose_group(layout(), free) is None
     first = choose_group(layout(), free, is_first_layout=True)
     assert first.loads == 2
 
 
-def test_members_of_a_lost_group_come_back_first() -> None:
+def test_members_of_a_lost_group_rejoin_first() -> None:
     free = [backend(n, staged=["small"]) for n in "abc"]
     found = choose_group(layout({"b": "small", "c": "small"}), free)
     assert {m.backend_id for m in found.members} == {"b", "c"}
     assert found.ready_in_s < 0.3
 
 
-def test_the_model_that_lacks_groups_goes_first() -> None:
+def test_the_model_that_lacks_groups_comes_first() -> None:
     free = [backend(n, staged=["small"]) for n in "abcd"]
     known = layout(dict.fromkeys("abcd", "big"))
     known.counts["small"] = 9
@@ -90,7 +90,7 @@
     return backend(name, staged=["big"], membership=place)
 
 
-def test_a_group_gives_way_where_another_model_needs_its_members_more() -> None:
+def test_a_group_is_converted_where_another_model_needs_its_members_more() -> None:
     free = [backend(n, staged=["big"]) for n in "abc"]
     donor = group("small.1", [member("x", "small.1", 0), member("y", "small.1", 1)])
     known = layout()
@@ -100,7 +100,7 @@
     assert found.donors == (donor,)
 
 
-def test_no_group_gives_way_without_an_advantage() -> None:
+def test_no_group_is_converted_without_an_advantage() -> None:
     free = [backend(n, staged=["big"]) for n in "abc"]
     donor = group("small.1", [member("x", "small.1", 0), member("y", "small.1", 1)])
     known = layout()
@@ -108,7 +108,7 @@
     assert choose_conversion(known, free, [donor]) is None
 
 
-def test_no_group_gives_way_for_one_that_would_have_to_load() -> None:
+def test_no_group_is_converted_for_one_that_needs_loads() -> None:
     free = [backend(n) for n in "abc"]
     donor = group("small.1", [member("x", "small.1", 0), member("y", "small.1", 1)])
     known = layout()
@@ -116,12 +116,12 @@
     assert choose_conversion(known, free, [donor]) is None
 
 
-def test_the_profile_is_what_the_tests_think() -> None:
+def test_the_profile_has_the_sizes_that_the_tests_assume() -> None:
     data = json.loads(engine_configuration())
     assert [m["size"] for m in data["services"][0]["engine"]["models"]] == [4, 2]
 
 
-def test_survivors_of_a_scarce_model_are_not_spent_on_an_abundant_one() -> None:
+def test_survivors_of_a_scarce_model_do_not_join_an_abundant_one() -> None:
     free = [backend(n, staged=["small"]) for n in "abc"]
     known = layout(dict.fromkeys("abc", "big"))
     known.count_backends([*free, *(backend(f"x{n}") for n in range(5))])
@@ -131,7 +131,7 @@
     assert choose_group(known, free).model.name == "small"
 
 
-def test_members_that_lose_nothing_go_first() -> None:
+def test_members_without_opportunity_cost_are_chosen_first() -> None:
     free = [backend(n, staged=["small"]) for n in "abcd"]
     known = layout({"a": "big", "b": "big"})
     known.count_backends([*free, *(backend(f"x{n}") for n in range(4))])
@@ -139,7 +139,7 @@
     assert {m.backend_id for m in found.members} == {"c", "d"}
 
 
-def test_where_no_group_of_its_last_model_fits_nothing_is_lost() -> None:
+def test_no_opportunity_cost_where_no_group_of_the_last_model_fits() -> None:
     free = [backend(n, staged=["small"]) for n in "ab"]
     known = layout(dict.fromkeys("ab", "big"))
     known.count_backends(free)
--- a/packages/placement/tests/test_restarts.py
+++ b/packages/placement/tests/test_restarts.py
@@ -1,8 +1,8 @@
-"""Backend servers that start again under their id, at any moment.
+"""Backend servers that restart under their id, at any time.
 
-Pattern: a process on a backend server's instance crashes and is back within moments,
-before its entry lapses, with its id, its address and what is staged on its host. It
-answers every question, but its group stands still.
+Pattern: a backend server's process crashes and restarts before its entry lapses, with
+the same id, address and staged weights. It answers every probe, but its group has
+stopped.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from fordhatch_standins._engine_model import Place
 
 REPLACED_WITHIN_S = 3.0
-"""Survivors rejoin in 0.2 s and a restarted one joins from its host in 1.6 s; a group
-opens in 0.3 s. The head would break only after 5 s, and no entry lapses."""
+"""Survivors rejoin in 0.2 s, a restarted member joins with staged weights in 1.6 s, and
+a group opens in 0.3 s. The head would break only after 5 s, and no entry lapses."""
 
 
-async def telling_site(site: Site, **options: int) -> None:
+async def start_reporting_site(site: Site, **options: int) -> None:
     site.fleet.tells_starts = True
     await standard_site(site, **options)
 
@@ -34,7 +34,7 @@
 
 
 def join_of(place: Place, member: EngineModel) -> GroupOrder:
-    """Return the order by which a member had joined its group."""
+    """Return the order with which a member had joined its group."""
     return GroupOrder(
         OrderKind.JOIN,
         place.group,
@@ -47,11 +47,11 @@
 
 @pytest.mark.parametrize("rank", [0, 1])
 @pytest.mark.parametrize("model", ["big", "small"])
-def test_a_group_whose_member_starts_again_is_replaced_at_once(
+def test_a_group_whose_member_restarts_is_replaced_at_once(
     model: str, rank: int
 ) -> None:
     async def scenario(site: Site) -> None:
-        await telling_site(site)
+        await start_reporting_site(site)
         before = site.working()
         broken = head_and_member(site, model)[rank]
         group = group_of(broken)
@@ -64,11 +64,11 @@
     play(scenario)
 
 
-def test_a_join_of_an_earlier_start_makes_no_group_whole() -> None:
-    """The order reaches the later start, which takes the place in the broken group."""
+def test_a_join_order_for_an_earlier_start_completes_no_group() -> None:
+    """The order reaches the later start, which joins the broken group."""
 
     async def scenario(site: Site) -> None:
-        await telling_site(site)
+        await start_reporting_site(site)
         before = site.working()
         head, member = head_and_member(site, "big")
         place = head.place
@@ -80,10 +80,10 @@
 
 
 def test_a_new_planner_is_not_misled_by_a_late_join() -> None:
-    """Nobody who plans has seen the start; only the record names the earlier one."""
+    """No running planner saw the restart; only the record names the earlier start."""
 
     async def scenario(site: Site) -> None:
-        await telling_site(site)
+        await start_reporting_site(site)
         await site.watch(3.0)
         before = site.working()
         for node in list(site.nodes.values()):
@@ -102,9 +102,9 @@
 
 
 @pytest.mark.parametrize("after_s", [0.05, 0.15, 0.3, 0.6, 1.0, 1.7, 1.9])
-def test_a_member_that_starts_again_while_its_group_forms(after_s: float) -> None:
+def test_a_member_that_restarts_while_its_group_forms(after_s: float) -> None:
     async def scenario(site: Site) -> None:
-        await telling_site(site, domains=1)
+        await start_reporting_site(site, domains=1)
         before = site.working()
         _, member = head_and_member(site, "big")
         started = site.fleet.restart(member)
@@ -115,9 +115,9 @@
     play(scenario)
 
 
-def test_members_that_start_again_inside_an_outage_of_the_store() -> None:
+def test_members_that_restart_during_an_outage_of_the_store() -> None:
     async def scenario(site: Site) -> None:
-        await telling_site(site)
+        await start_reporting_site(site)
         before = site.working()
         site.store.faults.is_down = True
         await site.watch(1.0)
@@ -130,11 +130,11 @@
     play(scenario)
 
 
-def test_a_new_planner_knows_that_a_member_has_started_again() -> None:
-    """The records of groups say which start was a member."""
+def test_a_new_planner_knows_that_a_member_has_restarted() -> None:
+    """The records of groups identify the start that was a member."""
 
     async def scenario(site: Site) -> None:
-        await telling_site(site)
+        await start_reporting_site(site)
         await site.watch(3.0)
         before = site.working()
         planner = site.planner()
@@ -153,7 +153,7 @@
 def test_restarts_and_late_orders_in_any_order(seed: int, checks_fencing: bool) -> None:
     async def scenario(site: Site) -> None:
         site.fleet.checks_fencing = checks_fencing
-        await telling_site(site)
+        await start_reporting_site(site)
         site.fleet.faults.late_share = 0.25
         for _ in range(12):
             living = [e for e in site.fleet.engines.values() if not e.is_dead]
@@ -172,14 +172,13 @@
 
 
 def test_an_old_record_does_not_move_a_head_out_of_its_group() -> None:
-    """Incident: a head was joined to another group while its own was open.
-
-    Seen: all nodes were lost in an outage; the first planner after it took a group
-    apart as lacking its head, released it in the same step, and moved the head.
-    How it came about: the head's entry had lapsed, and it stood in two records: that
-    of its group, and that of one that had been taken apart before.
-    Cause: the record that came last by name won, and a place that only a record names
-    counted as proof that the head had left its group.
+    """Guard against moving a head to another group while its own group is open.
+
+    All nodes were lost in an outage of the store. The head's entry had lapsed, and two
+    records named it: that of its group, and that of a group dissolved earlier. The
+    record with the last name won, and a place that only a record names counted as proof
+    that the head had left. The first planner after the outage therefore dissolved the
+    group, released it in the same step, and moved the head.
     """
 
     async def scenario(site: Site) -> None:
