--- a/packages/placement/src/fordhatch/placement/_group_care.py
+++ b/packages/placement/src/fordhatch/placement/_group_care.py
@@ -97,7 +97,7 @@
             case GroupCondition.FORMING:
                 return self._advance_forming(group, status, model)
             case GroupCondition.CLOSING:
-                return self._may_still_complete(group.key)
+                return self._may_complete(group.key)
         return True
 
     def _advance_undeclared(self, layout: Layout, group: ReplicaGroup) -> bool:
@@ -269,13 +269,11 @@
         if status.missing == 0:
             # An earlier planner's group that is still forming: members may be loading.
             timeout_s += LOAD_SLACK_FACTOR * model.load_s
-        return self._may_still_complete(
-            group.key, timeout_s
-        ) or self._dissolve_leftover(group)
+        return self._may_complete(group.key, timeout_s) or self._dissolve_leftover(
+            group
+        )
 
-    def _may_still_complete(
-        self, key: Key, timeout_s: float = TAKEOVER_GRACE_S
-    ) -> bool:
+    def _may_complete(self, key: Key, timeout_s: float = TAKEOVER_GRACE_S) -> bool:
         """Return whether another planner's group may still open or be released."""
         since_s = self._leftover_since_s.setdefault(key, self.timer.now_s())
         return self.timer.now_s() - since_s < timeout_s
