--- a/packages/registry/src/fordhatch/registry/_backend_directory.py
+++ b/packages/registry/src/fordhatch/registry/_backend_directory.py
@@ -249,7 +249,7 @@
         self._apply(entry, found, row.version)
 
     def _defer(self, row: Row, known: BackendServer | None) -> None:
-        """Keep the known state until the row's author had time to rewrite it."""
+        """Keep the known state until the row's author has had time to rewrite it."""
         self._log("backend_entry_held", backend=row.row_key.key, row=str(row.version))
         self._restored.defer(row, LAPSE_GRACE_S)
         if known is not None and known.state is BackendState.DRAINING:
@@ -257,7 +257,7 @@
             self.departures.add(known.backend_id)
 
     def _update_start_requirement(self) -> None:
-        """Recheck entries without a start time if most entries have changed in that."""
+        """Recheck entries without a start time when the requirement has changed."""
         if self._starts.are_required == self._are_starts_required:
             return
         self._are_starts_required = self._starts.are_required
@@ -273,8 +273,8 @@
     def _reject_row(self, registered_id: str, row: Row, error: str) -> None:
         """Remove the backend server whose entry has become malformed.
 
-        Its group probes a member that is removed, as with one that is not listed: the
-        entry says nothing about it any more.
+        Its group probes it then, like a member that is not listed: a malformed entry
+        gives no information about it.
         """
         entry = self._entries[registered_id]
         entry.value = row.value
--- a/packages/registry/src/fordhatch/registry/_crash_records.py
+++ b/packages/registry/src/fordhatch/registry/_crash_records.py
@@ -1,8 +1,8 @@
 """Records of backend servers that crashed while they ran a request.
 
 There is a row for each content (digest of a request) and backend server. Nodes share
-the rows, so that crashes count together which each node has seen only once. A starting
-node reads them, and they outlive the loss of all nodes.
+the rows, so that crashes of which each node has seen only one are counted together. A
+starting node reads the rows, and they outlive the loss of all nodes.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     FLOWING = 1
     """Events were passed on: the request had run for a while without a fault."""
     WAITING = 2
-    """No response had begun: the request may have been queued, or being read."""
+    """No response had begun: the request may have been queued, or been read."""
     BEGUN = 4
     """The response's headers had arrived, but no event yet."""
 
--- a/packages/registry/src/fordhatch/registry/_restored_entries.py
+++ b/packages/registry/src/fordhatch/registry/_restored_entries.py
@@ -2,7 +2,8 @@
 
 The store is restored from a backup that is some seconds old, and the authors rewrite
 the lost entries within about two seconds. Until then the backup shows leaving servers
-as ready, members of serving groups without a place, and removed servers as present.
+as ready, members of serving groups without membership, and removed servers as
+present.
 """
 
 from __future__ import annotations
