--- a/bench/crash_guards.py
+++ b/bench/crash_guards.py
@@ -44,8 +44,8 @@
     ),
     Guard(
         "crash: other nodes hear of it while the store is away",
-        "node/_crash_news.py",
-        "        self.crashes.subscribe(self.tell)\n",
+        "node/_crash_gossip.py",
+        "        self.crashes.subscribe(self.send)\n",
         "        pass\n",
         "standins/tests/test_requests_that_end_engines.py -k outage_of_the_store",
     ),
--- a/bench/store_guards.py
+++ b/bench/store_guards.py
@@ -112,7 +112,7 @@
     Guard(
         "return of an older store: a node that lost its row registers again",
         "node/_registration.py",
-        "            if self.shared.is_read and not self._is_known():\n",
+        "            if self.shared.is_read and not self._is_registered():\n",
         "            if False:\n",
         f"{RETURNS} -k registers_again",
     ),
--- a/packages/node/src/fordhatch/node/__init__.py
+++ b/packages/node/src/fordhatch/node/__init__.py
@@ -1,4 +1,4 @@
-"""A node: every part put together, its life, and its edge on the users' platform."""
+"""A node: its components, its life cycle, and its listeners on the users' platform."""
 
 from __future__ import annotations
 
--- a/packages/node/src/fordhatch/node/_clients.py
+++ b/packages/node/src/fordhatch/node/_clients.py
@@ -1,4 +1,4 @@
-"""What a node uses to reach the store, backend servers and other nodes."""
+"""Clients with which a node reaches the store, backend servers and other nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Clients:
-    """One client of each kind; the emulator brings its own."""
+    """One client of each kind; the emulator substitutes its own."""
 
     store: StoreClient
     backends: BackendClient
@@ -22,7 +22,7 @@
 
     @classmethod
     def from_settings(cls, settings: NodeSettings, timer: Timer) -> Clients:
-        """Return clients that use the network; a running loop is needed."""
+        """Return clients that use the network; a running event loop is required."""
         return cls(
             StoreClient.from_address(settings.store.address),
             BackendClient.create(),
--- a/packages/node/src/fordhatch/node/_daemon.py
+++ b/packages/node/src/fordhatch/node/_daemon.py
@@ -1,4 +1,4 @@
-"""The life of a node on the users' platform: start, serve, reload, stop."""
+"""Life cycle of a node process on the users' platform: start, serve, reload, stop."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 from ._settings_watch import SettingsWatch
 
 EXIT_BAD_SETTINGS = 2
-"""Exit status where the settings have mistakes."""
+"""Exit status if the settings are invalid."""
 
 LISTEN_AFTER_TERM_S = 3.2
-"""A leaving node still accepts connections for this long: the balancer asks once a
-second and takes a node out after two misses."""
+"""How long a leaving node still accepts connections: the load balancer probes once a
+second and removes a node after two failed probes."""
 
 CLOSE_LIMIT_S = 0.4
-"""How long the parts of a node may take to end; less than what is kept back of the
-grace."""
+"""Longest time in which the components of a node may close; less than the reserve
+that is kept back of the platform's grace period."""
 
 STANDARD_OUTPUT = 1
-"""File descriptor of the log."""
+"""File descriptor to which the log is written."""
 
 
 def run_on_platform(callers_port: socket.socket | None = None) -> None:
     """Run a node with the settings file that the platform names.
 
     Args:
-        callers_port: A socket that listens at the callers' address already.
+        callers_port: A socket that already listens at the callers' address.
     """
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
@@ -58,11 +58,11 @@
 
 
 def run_logged(node_name: str, run: Callable[[], Awaitable[None]]) -> None:
-    """Run a node's life with its log on standard output.
+    """Run a node until it stops, with its log on standard output.
 
     Args:
-        node_name: Written into every line.
-        run: The life of the node.
+        node_name: Written into every log line.
+        run: The coroutine function that runs the node.
     """
     writer = LineWriter(STANDARD_OUTPUT)
     writer.start()
@@ -72,7 +72,7 @@
 
 
 def stop_event() -> asyncio.Event:
-    """Return an event that the signals to stop set."""
+    """Return an event that SIGTERM and SIGINT set."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -81,13 +81,17 @@
 
 
 async def close_in_time(*closing: Callable[[], Awaitable[None]]) -> None:
-    """Close the parts of a node one after the other, but not for long."""
+    """Close the components of a node in order, within ``CLOSE_LIMIT_S``.
+
+    Args:
+        closing: The functions that close the components.
+    """
     try:
         async with asyncio.timeout(CLOSE_LIMIT_S):
             for close in closing:
                 await close()
     except TimeoutError:
-        # Every request has its answer by now; the end must not wait for the rest.
+        # Every request is answered by now, so the process need not wait any longer.
         log_event("close_cut_short", limit_s=CLOSE_LIMIT_S)
     log_event("node_stopped")
 
--- a/packages/node/src/fordhatch/node/_demand_survey.py
+++ b/packages/node/src/fordhatch/node/_demand_survey.py
@@ -1,4 +1,4 @@
-"""Asks other nodes what their callers ask of models, while this node plans."""
+"""Collects the demand for models from other nodes while this node is the planner."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from fordhatch.registry import NodeAddress, StoreView
 from fordhatch.serving import DemandMeter
 
-ASK_EVERY_S = 0.4
-"""Time between rounds: a burst shows in the first one after it begins."""
+ROUND_INTERVAL_S = 0.4
+"""Time between rounds: a burst shows in the first round after it begins."""
 
-ASKED = 16
-"""Nodes that are asked in a round, others than in the last one. What callers ask is
-much the same at all nodes, so that some tell for all: forty small questions a second
-at any size of the system."""
+NODES_PER_ROUND = 16
+"""Nodes that are queried in a round; each round queries different ones. Demand is much
+the same at all nodes, so a sample represents all of them. This makes forty small
+queries a second at any size of the system."""
 
-ASK_TIMEOUT_S = 0.3
-"""Longest wait for an answer; others answer within milliseconds."""
+QUERY_TIMEOUT_S = 0.3
+"""Longest wait for a reply; a reachable node replies within milliseconds."""
 
 
 @attrs.define(eq=False, repr=False)
 class DemandSurvey:
-    """Fills the planner's book."""
+    """Feeds the planner's demand estimator with reports from all nodes."""
 
     node_name: str
     view: StoreView
@@ -37,45 +37,54 @@
     timer: Timer
     lease: PlannerLease
     meter: DemandMeter
-    book: DemandBook
-    _to_ask: list[str] = attrs.field(factory=list)
+    estimator: DemandBook
+    _remaining: list[str] = attrs.field(factory=list)
+    """Names of the nodes that have not been queried in the current cycle."""
 
     async def run(self) -> None:
-        """Ask in rounds while this node has the planner's lease, until cancelled."""
+        """Query nodes in rounds while this node holds the planner lease.
+
+        Runs until cancelled.
+        """
         while True:
             await self.lease.until_held()
-            self.book.heard(self.node_name, self.meter.demand(), self.timer.now_s())
-            await asyncio.gather(*(self._ask(node) for node in self._chosen()))
-            await self.timer.sleep(self.timer.jittered(ASK_EVERY_S))
-
-    def _chosen(self) -> list[NodeAddress]:
-        """Return the nodes of this round; all have their turn, in a random order."""
+            self.estimator.heard(
+                self.node_name, self.meter.demand(), self.timer.now_s()
+            )
+            await asyncio.gather(*(self._query(node) for node in self._next_nodes()))
+            await self.timer.sleep(self.timer.jittered(ROUND_INTERVAL_S))
+
+    def _next_nodes(self) -> list[NodeAddress]:
+        """Return the nodes of this round, from a random order that covers all nodes."""
         nodes = self.view.shared.nodes
-        if len(self._to_ask) < ASKED:
+        if len(self._remaining) < NODES_PER_ROUND:
             others = [n for n in nodes if n != self.node_name]
-            self._to_ask = self.timer.rng.sample(others, len(others))
-        chosen, self._to_ask = self._to_ask[:ASKED], self._to_ask[ASKED:]
-        return [nodes[name] for name in chosen if name in nodes]
-
-    async def _ask(self, node: NodeAddress) -> None:
-        got = await self._request(node)
-        if got.is_err():
+            self._remaining = self.timer.rng.sample(others, len(others))
+        selected, self._remaining = (
+            self._remaining[:NODES_PER_ROUND],
+            self._remaining[NODES_PER_ROUND:],
+        )
+        return [nodes[name] for name in selected if name in nodes]
+
+    async def _query(self, node: NodeAddress) -> None:
+        answer = await self._request(node)
+        if answer.is_err():
             return
-        reply = got.unwrap()
+        reply = answer.unwrap()
         if not isinstance(reply, DemandReply):
             return
         demand = {
             (service, model): ModelDemand(requests_per_s, busy_groups)
             for service, model, requests_per_s, busy_groups in reply.models
         }
-        self.book.heard(node.name, demand, self.timer.now_s())
+        self.estimator.heard(node.name, demand, self.timer.now_s())
 
     async def _request(self, node: NodeAddress) -> Result[object, Failure]:
-        return await self.pool.request(node.address, QueryDemand(), ASK_TIMEOUT_S)
+        return await self.pool.request(node.address, QueryDemand(), QUERY_TIMEOUT_S)
 
 
 def demand_reply(meter: DemandMeter) -> DemandReply:
-    """Return what a node answers."""
+    """Return the reply of a node to a demand query."""
     return DemandReply(
         [
             (service, model, demand.requests_per_s, demand.busy_groups)
--- a/packages/node/src/fordhatch/node/_node.py
+++ b/packages/node/src/fordhatch/node/_node.py
@@ -1,4 +1,7 @@
-"""A node: every part put together, and its life. Its edges stand before it."""
+"""A node: assembles its components and runs their life cycle.
+
+The listeners for callers and operators are separate modules.
+"""
 
 from __future__ import annotations
 
@@ -38,39 +41,41 @@
 from fordhatch.serving import NodeState, RequestPath
 
 from ._clients import Clients
-from ._crash_news import CrashNews
+from ._crash_gossip import CrashGossip
 from ._demand_survey import DemandSurvey, demand_reply
 from ._outage_survey import OutageSurvey
-from ._pressure_news import PressureNews
+from ._pressure_gossip import PressureGossip
 from ._registration import Registration
 
-TERM_POLL_S = 0.05
-"""How often a leaving node looks whether its last request has ended."""
+DRAIN_POLL_INTERVAL_S = 0.05
+"""Time between checks whether a leaving node's last request has ended."""
 
 GRACE_RESERVE_S = 0.6
-"""A leaving node ends this much before it would be killed."""
+"""How long before the end of the platform's grace period a leaving node stops waiting
+for requests, so that the process exits before it would be killed."""
 
-FORGET_S = 5.0
-"""How often records of backend servers that are gone are dropped."""
+CLEANUP_INTERVAL_S = 5.0
+"""Time between removals of records of departed backend servers."""
 
-ASK_HOLDER_TIMEOUT_S = 0.3
-"""Longest wait for the planner's node; others answer within milliseconds."""
+HOLDER_QUERY_TIMEOUT_S = 0.3
+"""Longest wait for a reply of the lease holder; a reachable node replies within
+milliseconds."""
 
 START_ID_BYTES = 8
-"""Length of the name of a node's start: enough never to come twice."""
+"""Length of the identifier of a node's start, long enough to be unique."""
 
 FIRST_START_SPREAD_S = 1.0
-"""At the first start of the whole system nodes begin to read within this time: those
-that come later get the tables from those that came first. Traffic begins ten seconds
-later."""
+"""At the first start of the whole system, nodes begin to read at random moments within
+this time, so that later ones get the tables from the first ones. Traffic begins ten
+seconds later."""
 
-TELL_CALLS_S = 10.0
-"""How often the calls to the store are summed up in the log."""
+STORE_CALLS_LOG_INTERVAL_S = 10.0
+"""Time between log lines with the number of calls to the store."""
 
 
 @attrs.define(eq=False, repr=False)
 class Node:
-    """The parts that every node has, whoever its callers and operators are."""
+    """The components that every node has, independent of its listeners."""
 
     settings: NodeSettings
     timer: Timer
@@ -81,10 +86,10 @@
     path: RequestPath
     lease: PlannerLease
     planner: Planner
-    news: CrashNews
-    pressure: PressureNews
+    crash_gossip: CrashGossip
+    pressure_gossip: PressureGossip
     start_id: str
-    """Names this start of the node; a restarted one has another."""
+    """Identifies this start of the node; a restart gets a new one."""
     registration: Registration
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
@@ -101,8 +106,8 @@
         Args:
             settings: The node's settings.
             timer: The node's timer.
-            clients: How it reaches others; closed with the node.
-            configuration_row: Where its configuration lies.
+            clients: Its network clients; closed with the node.
+            configuration_row: The row of the store that holds its configuration.
         """
         view, relay = _view(settings, clients, timer, configuration_row)
         state = NodeState(settings.bounds, view, timer)
@@ -121,7 +126,7 @@
             timer,
             lambda: set(view.shared.nodes),
             lambda: state.is_leaving,
-            lambda name: _ask_holder(clients.pool, view, name),
+            lambda name: _query_holder(clients.pool, view, name),
         )
         planner = Planner.create(
             view,
@@ -133,8 +138,10 @@
             is_first_start=settings.is_first_start,
             has_traffic=lambda: state.has_served,
         )
-        news = CrashNews(settings.node_name, view, clients.pool, timer, path.crashes)
-        pressure = PressureNews(
+        crash_gossip = CrashGossip(
+            settings.node_name, view, clients.pool, timer, path.crashes
+        )
+        pressure_gossip = PressureGossip(
             settings.node_name, view, clients.pool, timer, path.permits
         )
         start_id = secrets.token_hex(START_ID_BYTES)
@@ -148,14 +155,14 @@
             path,
             lease,
             planner,
-            news,
-            pressure,
+            crash_gossip,
+            pressure_gossip,
             start_id,
             Registration(settings, start_id, clients.store, view.shared, timer),
         )
 
     async def start(self) -> None:
-        """Start every part."""
+        """Start every component."""
         log_event(
             "node_started",
             zone=self.settings.zone,
@@ -164,8 +171,8 @@
         )
         await self._listen_for_nodes()
         self.view.start()
-        self.news.start()
-        self.pressure.start()
+        self.crash_gossip.start()
+        self.pressure_gossip.start()
         keep, every = self.timer.keep, self.timer.every
         self._tasks.spawn(keep(self.registration.run, name="register"), "register")
         self._tasks.spawn(keep(self.lease.run, name="lease"), "lease")
@@ -184,34 +191,38 @@
             self.planner.demand,
         )
         self._tasks.spawn(keep(demand.run, name="demand"), "demand")
-        self._tasks.spawn(every(FORGET_S, self._forget_gone, name="forget"), "forget")
-        tell = every(TELL_CALLS_S, self._tell_calls, name="tell-calls")
-        self._tasks.spawn(tell, "tell-calls")
+        self._tasks.spawn(
+            every(CLEANUP_INTERVAL_S, self._clean_up, name="forget"), "forget"
+        )
+        log_calls = every(
+            STORE_CALLS_LOG_INTERVAL_S, self._log_store_calls, name="tell-calls"
+        )
+        self._tasks.spawn(log_calls, "tell-calls")
 
     async def _listen_for_nodes(self) -> None:
         shared, pool = self.view.shared, self.clients.pool
 
-        def take_secret() -> None:
+        def apply_secret() -> None:
             pool.shared_key = shared.secret
 
         pool.handler = self._answer_node
-        shared.subscribe(take_secret)
+        shared.subscribe(apply_secret)
         host, _, port = self.settings.peer_address.rpartition(":")
         await pool.listen(host, int(port))
 
     async def _answer_node(self, message: object, channel: Channel) -> None:
-        """Answer another node."""
+        """Handle a message of another node."""
         match message:
             case WatchTables():
                 await self.relay.serve(message, channel)
             case CrashesSeen():
-                await self.news.take(message, channel)
+                await self.crash_gossip.receive(message, channel)
             case AskPermit():
-                await self.pressure.answer(message, channel)
+                await self.pressure_gossip.answer_permit(message, channel)
             case PressureSeen():
-                await self.pressure.take(message, channel)
+                await self.pressure_gossip.receive(message, channel)
             case QueryPressure():
-                await self.pressure.tell_known(channel)
+                await self.pressure_gossip.send_known(channel)
             case QueryDemand():
                 await channel.send(demand_reply(self.path.demand))
             case QueryStatus():
@@ -221,7 +232,7 @@
                 await channel.send(to_refused(failure))
 
     def status(self) -> StatusReply:
-        """Return what this node tells others of itself."""
+        """Return the status that this node reports to other nodes."""
         return StatusReply(
             self.settings.node_name,
             self.start_id,
@@ -232,18 +243,19 @@
             self.view.configuration_age_s(),
         )
 
-    async def _forget_gone(self) -> None:
+    async def _clean_up(self) -> None:
+        """Remove records of departed backend servers and update the gauges."""
         self.path.forget_gone()
         self.view.directory.forget_departures()
-        for (service, kind), asking in self.path.permits.pressure.counts().items():
-            metrics.BACKENDS_ASKING.labels(service, kind.value).set(asking)
+        for (service, kind), count in self.path.permits.pressure.counts().items():
+            metrics.BACKENDS_ASKING.labels(service, kind.value).set(count)
 
-    async def _tell_calls(self) -> None:
+    async def _log_store_calls(self) -> None:
         calls = self.clients.store.calls
         log_event("store_calls", **{k.replace(" ", "_"): n for k, n in calls.items()})
 
-    def take_settings(self, settings: NodeSettings) -> None:
-        """Take the bounds of new settings; addresses hold until the next start."""
+    def apply_settings(self, settings: NodeSettings) -> None:
+        """Apply the bounds of new settings; addresses stay until the next start."""
         self.settings = settings
         self.state.bounds = settings.bounds
         self.path.budget.bounds = settings.bounds
@@ -253,11 +265,11 @@
     async def leave(
         self, stop_listening: Callable[[], None], *, listen_for_s: float
     ) -> None:
-        """Take no new callers, finish what was taken on, hand the duty on.
+        """Take no new callers, finish admitted requests, and release the planner lease.
 
         Args:
-            stop_listening: Closes the callers' listener; open connections go on.
-            listen_for_s: How long callers may still arrive, in seconds.
+            stop_listening: Closes the callers' listener; open connections stay open.
+            listen_for_s: How long connections are still accepted, in seconds.
         """
         self.state.leave()
         log_event("node_leaving", in_flight=self.state.in_flight)
@@ -268,29 +280,29 @@
         grace_s = self.settings.bounds.grace_s - GRACE_RESERVE_S
         last_s = self.state.leaving_since_s + grace_s
         while self.state.in_flight and self.timer.now_s() < last_s:
-            await self.timer.sleep(TERM_POLL_S)
+            await self.timer.sleep(DRAIN_POLL_INTERVAL_S)
         log_event("node_left", in_flight=self.state.in_flight)
 
     async def close(self) -> None:
-        """End every part."""
+        """Close every component."""
         await self._tasks.close()
-        await self.news.close()
-        await self.pressure.close()
+        await self.crash_gossip.close()
+        await self.pressure_gossip.close()
         await self.planner.close()
         await self.path.close()
         await self.view.close()
         await self.clients.close()
 
 
-async def _ask_holder(
+async def _query_holder(
     pool: PeerPool, view: StoreView, node_name: str
 ) -> HolderNews | None:
-    """Ask the node that has the planner's lease whether it goes on renewing it."""
+    """Query the holder of the planner lease whether it still renews the lease."""
     address = view.shared.nodes.get(node_name)
     if address is None:
         return None
-    asked = await pool.request(address.address, QueryStatus(), ASK_HOLDER_TIMEOUT_S)
-    reply = asked.ok()
+    answer = await pool.request(address.address, QueryStatus(), HOLDER_QUERY_TIMEOUT_S)
+    reply = answer.ok()
     if not isinstance(reply, StatusReply):
         return None
     return HolderNews(reply.is_planner, StoreVersion(*reply.lease_version))
@@ -302,7 +314,7 @@
     timer: Timer,
     configuration_row: ConfigurationRow,
 ) -> tuple[StoreView, RelayServer]:
-    """Return the node's view of the store, and what passes it on to others."""
+    """Return the node's view of the store, and the relay server for other nodes."""
     shared = SharedRows(timer)
 
     def nodes() -> dict[str, NodeAddress]:
--- a/packages/node/src/fordhatch/node/_platform_edge.py
+++ b/packages/node/src/fordhatch/node/_platform_edge.py
@@ -1,4 +1,4 @@
-"""Where callers, the balancer and the metrics' reader of the platform meet a node."""
+"""Listeners of a node for callers, the load balancer and the metrics scraper."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ._node import Node
 
 METRICS_PORT = 9464
-"""Port of the metrics page on every node; the deploy file names it as well."""
+"""Port of the metrics page on every node; the deployment file names it as well."""
 
 METRICS_PATH = "/metrics"
 
@@ -29,14 +29,14 @@
 
     @classmethod
     def from_node(cls, node: Node) -> PlatformEdge:
-        """Return the edge of a node; it does not listen yet."""
+        """Return the edge of a node, which does not listen yet."""
         return cls(node, CallerServer.from_path(node.path, node.timer))
 
     async def listen(self, callers_port: socket.socket | None = None) -> None:
-        """Listen at the addresses of the settings.
+        """Listen at the addresses given in the settings.
 
         Args:
-            callers_port: A socket that listens at the callers' address already.
+            callers_port: A socket that already listens at the callers' address.
         """
         settings = self.node.settings
         await self._listen(settings.ready_address, self._answer_ready)
@@ -55,7 +55,7 @@
         self._servers.append(await HttpServer.listen(address, handler, port))
 
     def stop_listening(self) -> None:
-        """Accept no new connections of callers."""
+        """Stop accepting new connections from callers."""
         self._servers[-1].stop_listening()
 
     async def _answer_ready(self, request: web.BaseRequest) -> web.Response:
@@ -75,7 +75,7 @@
 
 
 def render(node: Node) -> bytes:
-    """Return the metrics page, its gauges brought up to date."""
+    """Return the metrics page of a node with current gauge values."""
     view = node.view
     metrics.CONFIGURATION_VERSION.set(view.configuration.version)
     metrics.CONFIGURATION_AGE_SECONDS.set(view.configuration_age_s())
--- a/packages/node/src/fordhatch/node/_registration.py
+++ b/packages/node/src/fordhatch/node/_registration.py
@@ -1,4 +1,4 @@
-"""A node's own row, by which other nodes find it, and the secret that they share."""
+"""Registration of a node in the store, and the secret that all nodes share."""
 
 from __future__ import annotations
 
@@ -18,39 +18,42 @@
 )
 
 REGISTER_TIMEOUT_S = 1.0
-"""Longest wait for the store to take the node's own row."""
+"""Longest wait for the store to accept the node's own row."""
 
-ROW_LOOK_S = 2.0
-"""How often a node looks whether its row is still there: a restored store may have
-lost it, and nobody else may have known it. A row takes a moment to be seen here."""
+ROW_CHECK_INTERVAL_S = 2.0
+"""Time between checks that the node's row still exists: a store that is restored from
+a backup may have lost it, and no other node may know it. A row that was written takes a
+moment to show in the node's own view."""
 
 SECRET_BYTES = 32
-"""Length of the key that nodes share."""
+"""Length of the secret that nodes share."""
 
 MBPS_PER_CORE = 100.0
-"""A link of this rate carries what a whole core can hand out of the tables."""
+"""Link rate, in Mbit/s, that carries as much table data as one core can relay."""
 
-LEAST_WEIGHT = 0.01
-"""A node that carries next to nothing is still asked when all others are lost."""
+MIN_WEIGHT = 0.01
+"""Lower bound of a node's weight, so that a node with little capacity is still used as
+a reader when all others are lost."""
 
-READ_LOOK_S = 0.02
-"""Time between looks whether the system's own rows have been read: nearly always the
-secret is among them, and each proposal costs a call to the store."""
+READ_POLL_INTERVAL_S = 0.02
+"""Time between checks whether the system's own rows have been read. The secret is
+nearly always among them, and each proposal costs a call to the store."""
 
 SECRET_SPREAD_S = 0.5
-"""Where there is none, nodes propose one at moments of their own within this time: the
-first one's reaches the others within some milliseconds."""
+"""Without a secret, each node proposes one at a random moment within this time: the
+first proposal reaches the other nodes within some milliseconds."""
 
 REGISTER_RETRY_S = 1.0
-"""Pause after the first try to write the node's own row; it doubles with each."""
+"""Pause after the first failed write of the node's own row; it doubles each time."""
 
-REGISTER_RETRY_MOST_S = 4.0
-"""Longest such pause: a node without a row is served by others, and serves."""
+MAX_REGISTER_RETRY_S = 4.0
+"""Longest pause between writes: a node without a row still gets its tables from other
+nodes and serves requests."""
 
 
 @attrs.define(eq=False, repr=False)
 class Registration:
-    """Writes what the other nodes must know of this one."""
+    """Writes the row by which other nodes find this one, and the shared secret."""
 
     settings: NodeSettings
     start_id: str
@@ -63,18 +66,18 @@
         """Register, and register again whenever the row is lost, until cancelled."""
         await self._register()
         while not self._is_withdrawn:
-            await self.timer.sleep(self.timer.jittered(ROW_LOOK_S))
-            if self.shared.is_read and not self._is_known():
+            await self.timer.sleep(self.timer.jittered(ROW_CHECK_INTERVAL_S))
+            if self.shared.is_read and not self._is_registered():
                 log_event("node_row_lost", node_name=self.settings.node_name)
                 await self._register()
 
-    def _is_known(self) -> bool:
-        """Return whether the node's row, as others see it, is that of this start."""
+    def _is_registered(self) -> bool:
+        """Return whether the node's row in the shared table has its current address."""
         known = self.shared.nodes.get(self.settings.node_name)
         return known is not None and known.address == self.settings.peer_address
 
     async def _register(self) -> None:
-        """Write the node's own row, and the shared secret if there is none."""
+        """Write the node's own row, and a shared secret if there is none."""
         own = RowKey(SHARED_TABLE, node_key(self.settings.node_name))
         value = node_value(
             self.settings.peer_address,
@@ -82,25 +85,25 @@
             _weight(self.settings),
             self.start_id,
         )
-        await self._write_until_done({}, {own: value})
+        await self._write_with_retries({}, {own: value})
         secret = RowKey(SHARED_TABLE, SECRET_KEY)
         spread_s = SECRET_SPREAD_S * self.timer.rng.random()
         while not self.shared.is_read:
-            await self.timer.sleep(READ_LOOK_S)
+            await self.timer.sleep(READ_POLL_INTERVAL_S)
         await self.timer.sleep(spread_s)
         if not self.shared.secret:
             proposal = secrets.token_bytes(SECRET_BYTES)
-            await self._write_until_done({secret: ABSENT}, {secret: proposal})
+            await self._write_with_retries({secret: ABSENT}, {secret: proposal})
 
     async def withdraw(self) -> None:
-        """Remove the node's own row: others ask somebody else from now on."""
+        """Remove the node's own row, so that other nodes no longer read from it."""
         self._is_withdrawn = True
         own = RowKey(SHARED_TABLE, node_key(self.settings.node_name))
         removed = await self.store.write({}, {}, (own,), timeout_s=REGISTER_TIMEOUT_S)
         if removed.is_err():
             log_event("node_not_withdrawn", error=removed.err().message)
 
-    async def _write_until_done(
+    async def _write_with_retries(
         self, expected: dict[RowKey, StoreVersion], puts: dict[RowKey, bytes]
     ) -> None:
         pause_s = REGISTER_RETRY_S
@@ -112,9 +115,9 @@
                 return
             log_event("node_not_registered", error=written.err().message)
             await self.timer.sleep(self.timer.jittered(pause_s))
-            pause_s = min(2 * pause_s, REGISTER_RETRY_MOST_S)
+            pause_s = min(2 * pause_s, MAX_REGISTER_RETRY_S)
 
 
 def _weight(settings: NodeSettings) -> float:
-    """Return how much a node can carry for others."""
-    return max(min(settings.cores, settings.link_mbps / MBPS_PER_CORE), LEAST_WEIGHT)
+    """Return the node's capacity for other nodes, in units of one core."""
+    return max(min(settings.cores, settings.link_mbps / MBPS_PER_CORE), MIN_WEIGHT)
--- a/packages/node/src/fordhatch/node/_settings_watch.py
+++ b/packages/node/src/fordhatch/node/_settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes changes of the platform's settings file, with and without a signal."""
+"""Applies changes of the platform's settings file, with or without a signal."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from ._node import Node
 
-LOOK_S = 1.0
-"""How often the settings file is compared: it may change without a signal."""
+POLL_INTERVAL_S = 1.0
+"""Time between checks of the settings file: it may change without a signal."""
 
 
 @attrs.define(eq=False, repr=False)
 class SettingsWatch:
-    """Compares the settings file with what was read last."""
+    """Compares the settings file with the content that was read last."""
 
     node: Node
     path: Path
@@ -25,13 +25,16 @@
     """The settings file as it was last read."""
 
     async def run(self) -> None:
-        """Look at the file again and again, until cancelled."""
+        """Poll the file until cancelled."""
         while True:
-            await self.node.timer.sleep(LOOK_S)
+            await self.node.timer.sleep(POLL_INTERVAL_S)
             self.reload()
 
     def reload(self) -> None:
-        """Take the settings file if it has changed."""
+        """Apply the settings file if it has changed.
+
+        Settings that cannot be decoded are logged and leave the active ones in effect.
+        """
         try:
             found = self.path.read_text()
         except OSError as error:
@@ -41,6 +44,6 @@
             return
         self.content = found
         try:
-            self.node.take_settings(decode_settings(found))
+            self.node.apply_settings(decode_settings(found))
         except DecodeError as error:
             log_event("settings_refused", error=str(error))
--- a/packages/node/tests/test_node_process.py
+++ b/packages/node/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""A node as its own process, against the stand-in store: start, serve, stop."""
+"""Run a node as its own process against the stand-in store: start, serve, stop."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 ENTRY = Path(__file__).parents[3] / "deploy" / "entry.py"
 START_LIMIT_S = 20.0
 OWN_IP = f"127.{1 + os.getpid() % 250}.{1 + os.getpid() // 250 % 250}.1"
-"""Nodes serve metrics at a fixed port: tests that run beside these have another one."""
+"""Nodes serve metrics at a fixed port: test runs side by side use other addresses."""
 
 
-async def answers(request, writer) -> None:
+async def answer_slowly(request, writer) -> None:
     await asyncio.sleep(0.3)
     writer.write(http_answer(request, b"whole"))
 
@@ -71,7 +71,7 @@
     )
 
 
-async def until_ready(session: aiohttp.ClientSession, port: int) -> None:
+async def wait_until_ready(session: aiohttp.ClientSession, port: int) -> None:
     async with asyncio.timeout(START_LIMIT_S):
         while True:
             try:
@@ -84,10 +84,10 @@
             await asyncio.sleep(0.05)
 
 
-async def test_a_node_starts_serves_and_stops_whole(tmp_path: Path) -> None:
+async def test_node_starts_serves_and_stops_cleanly(tmp_path: Path) -> None:
     model = StoreModel()
     model.put(OPERATOR_TABLE, CONFIGURATION_KEY, configuration())
-    backend = ScriptedBackend(answers)
+    backend = ScriptedBackend(answer_slowly)
     address = await backend.start()
     model.put(BACKENDS_TABLE, "i-1", backend_entry("app", address))
     listener, store_port = await start_store(model)
@@ -104,13 +104,13 @@
     node = await start_node(path)
     try:
         async with aiohttp.ClientSession() as session:
-            await until_ready(session, ready)
+            await wait_until_ready(session, ready)
             url = f"http://{OWN_IP}:{front}/once/1"
             headers = {**CALL_HEADERS, "X-Attempt-Id": "r1"}
-            asked = asyncio.ensure_future(session.post(url, headers=headers))
+            response = asyncio.ensure_future(session.post(url, headers=headers))
             await asyncio.sleep(0.1)
             node.send_signal(signal.SIGTERM)
-            async with await asked as answer:
+            async with await response as answer:
                 assert (answer.status, await answer.read()) == (200, b"whole")
         async with asyncio.timeout(8):
             output, _ = await node.communicate()
@@ -125,7 +125,7 @@
         assert any(f"event={name} " in f"{line} " for line in events), name
 
 
-CONNECTS_AT_THE_FIRST_IMPORT = """
+CONNECT_AT_FIRST_IMPORT = """
 import runpy, socket, sys
 class Finder:
     def find_spec(self, name, path=None, target=None):
@@ -145,7 +145,7 @@
     (front,) = free_ports(1)
     path = tmp_path / "node.toml"
     path.write_text(BOUNDS.replace("10.0.0.1:1", f"127.0.0.1:{front}"))
-    code = CONNECTS_AT_THE_FIRST_IMPORT.format(
+    code = CONNECT_AT_FIRST_IMPORT.format(
         port=front, entry=str(ENTRY), folder=str(ENTRY.parent)
     )
     node = await asyncio.create_subprocess_exec(
@@ -161,7 +161,7 @@
 
 
 def compiled(cache: Path, *, reads: bool) -> list[str]:
-    """Return what is compiled anew while a module's class is made."""
+    """Return what is compiled despite the cache, and the result of the evaluation."""
     code = (
         "import sys, pathlib, builtins; sys.path.insert(0, sys.argv[1])\n"
         "import compile_cache as c; c.CACHE = pathlib.Path(sys.argv[2])\n"
@@ -194,13 +194,13 @@
         marshal.dumps((1, 2, 3)),
     ],
 )
-def test_a_damaged_cache_costs_time_only(tmp_path: Path, damaged: bytes) -> None:
+def test_damaged_cache_only_costs_time(tmp_path: Path, damaged: bytes) -> None:
     cache = tmp_path / "generated-code"
     cache.write_bytes(damaged)
     assert compiled(cache, reads=True) == ["42"]
 
 
-async def test_bad_settings_end_the_process_with_every_mistake(tmp_path: Path) -> None:
+async def test_invalid_settings_exit_and_report_every_mistake(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     path.write_text('zone = 7\n[bounds]\nrevoke-ms = "long"\n')
     node = await start_node(path)
@@ -211,7 +211,9 @@
     assert b"bounds.revoke-ms: expected a number" in errors
 
 
-async def test_changed_settings_are_taken_and_bad_ones_left(tmp_path: Path) -> None:
+async def test_changed_settings_are_applied_and_invalid_ones_ignored(
+    tmp_path: Path,
+) -> None:
     path = tmp_path / "node.toml"
     path.write_text(BOUNDS)
     settings, timer = decode_settings(BOUNDS), Timer.from_seed(1)
--- a/packages/node/tests/test_stateful_returns.py
+++ b/packages/node/tests/test_stateful_returns.py
@@ -1,8 +1,8 @@
-"""Random returns of the store from older copies, over whole nodes in virtual time.
+"""Random restores of the store from backups, with complete nodes in virtual time.
 
-Beside what holds for any site: no node goes back to an earlier configuration, terms of
-planners rise, and once all is well every node knows what operators and backend servers
-wrote last.
+Beyond the invariants of ``SiteMachine``: no node goes back to an earlier configuration,
+the terms of planners increase, and once all faults are over every node knows what
+operators and backend servers wrote last.
 """
 
 from __future__ import annotations
@@ -19,45 +19,45 @@
 from fordhatch.catalog import BackendState
 from fordhatch_standins import StoreCopy
 
-AGAIN_S = 1.8
-"""Within this time operators and backend servers write again what is lost."""
+REWRITE_WITHIN_S = 1.8
+"""Time within which operators and backend servers rewrite lost rows."""
 
 SETTLE_S = 8.0
-"""After this time without a fault everybody knows everything."""
+"""Time without faults after which every node has the newest state."""
 
 
-class ReturnsMachine(SiteMachine):
-    """The store is copied and comes back from copies, among all other faults."""
+class RestoreMachine(SiteMachine):
+    """Restores the store from copies, in addition to the faults of ``SiteMachine``."""
 
     def __init__(self) -> None:
         self.copies: list[StoreCopy] = []
         self.version = 1
         self.highest: dict[str, int] = {}
-        """The highest version that each start of a node has had in force."""
+        """Highest configuration version in effect so far, by start of a node."""
         self.terms: dict[str, int] = {}
-        """The highest term of each start of a node that has planned."""
+        """Highest fencing token of each start of a node that was the planner."""
         super().__init__()
 
     @rule()
     def store_is_copied(self) -> None:
         self.copies = [*self.copies, self.site.store.copy()][-3:]
 
-    @rule(index=st.integers(0, 2), away_s=st.sampled_from([0.0, 0.3, 2.0]))
-    def store_comes_back_older(self, index: int, away_s: float) -> None:
+    @rule(index=st.integers(0, 2), outage_s=st.sampled_from([0.0, 0.3, 2.0]))
+    def store_backup_is_restored(self, index: int, outage_s: float) -> None:
         if not self.copies:
             return
         store = self.site.store
         was_down = store.faults.is_down
-        store.faults.is_down = was_down or away_s > 0
-        self.wait(away_s)
+        store.faults.is_down = was_down or outage_s > 0
+        self.wait(outage_s)
         copy = self.copies[index % len(self.copies)]
 
         async def restore() -> None:
             lost = store.restore(copy)
-            store.write_again(lost, AGAIN_S, self.site.rng)
+            store.write_again(lost, REWRITE_WITHIN_S, self.site.rng)
 
         self.do(restore())
-        # A copy that is newer than the one restored is of a time that never was.
+        # Copies newer than the restored one hold writes that are now undone.
         self.copies = [c for c in self.copies if c.version <= copy.version]
         store.faults.is_down = was_down
 
@@ -74,19 +74,19 @@
         self.site.store.faults.late_write_s = late_s
 
     @rule(node=st.integers(0, 2))
-    def a_node_starts_again(self, node: int) -> None:
+    def a_node_restarts(self, node: int) -> None:
         self.do(self.site.restart(node % len(self.site.nodes)))
 
     @invariant()
-    def no_node_goes_back(self) -> None:
+    def no_configuration_version_decreases(self) -> None:
         for one in self.site.nodes:
             start, found = one.node.start_id, one.node.view.configuration.version
             assert found >= self.highest.get(start, 0)
             self.highest[start] = found
 
     @invariant()
-    def terms_rise(self) -> None:
-        async def look() -> None:
+    def terms_increase(self) -> None:
+        async def check() -> None:
             for one in self.site.nodes:
                 lease, start = one.node.lease, one.node.start_id
                 if not lease.is_held():
@@ -96,10 +96,10 @@
                 assert lease.fencing_token > max(others, default=0)
                 self.terms[start] = lease.fencing_token
 
-        self.do(look())
+        self.do(check())
 
     def teardown(self) -> None:
-        self.everything_heals()
+        self.everything_recovers()
         self.site.store.faults.late_writes = 0
         self.wait(SETTLE_S)
         versions = {o.node.view.configuration.version for o in self.site.nodes}
@@ -117,14 +117,14 @@
         super().teardown()
 
     def _holders(self) -> list[bool]:
-        async def look() -> list[bool]:
+        async def check() -> list[bool]:
             await asyncio.sleep(0)
             return [one.node.lease.is_held() for one in self.site.nodes]
 
-        return self.do(look())
+        return self.do(check())
 
 
-ReturnsMachine.TestCase.settings = settings(
+RestoreMachine.TestCase.settings = settings(
     derandomize=True, max_examples=15, stateful_step_count=20, deadline=None
 )
-TestReturns = ReturnsMachine.TestCase
+TestRestores = RestoreMachine.TestCase
--- a/packages/node/tests/test_stateful_site.py
+++ b/packages/node/tests/test_stateful_site.py
@@ -1,8 +1,8 @@
-"""Random requests and faults over whole nodes in virtual time, against a simple oracle.
+"""Random requests and faults with complete nodes in virtual time, against an oracle.
 
-The oracle: the answer to a request is a function of its body; a request that may not
-be repeated runs once at most; one that is refused as not run has never run; no group
-serves without all of its members, and no engine serves two groups.
+The oracle: the answer to a request is a function of its body; a request that must not
+be retried runs at most once; a request that is refused as not run has never run; no
+group serves without all of its members, and no engine serves two groups.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 OUTPUT_TOKENS = 60
 EVENTS = 12
 DEADLINE_S = 6.0
-LEAST_ENGINES = 6
-SPOILED = [b"{", b"\xff", b"{}", b"[" * 10_000, b'{"state": "dancing"}']
+MIN_ENGINES = 6
+MALFORMED_ENTRIES = [b"{", b"\xff", b"{}", b"[" * 10_000, b'{"state": "dancing"}']
 NODE = st.integers(0, NODES - 1)
 
 
 @attrs.define(eq=False, repr=False)
-class NotedReply:
-    """Keeps what the caller gets."""
+class RecordedReply:
+    """Records what the caller receives."""
 
     outcome: str = ""
     has_begun: bool = False
     events: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
     failure: Failure | None = None
     is_final: bool = False
 
@@ -63,14 +63,14 @@
         self.events += piece
 
     async def end(self) -> None:
-        self.is_whole = self.is_final = True
+        self.is_complete = self.is_final = True
 
     async def abort(self) -> None:
         self.is_final = True
 
 
 class SiteMachine(RuleBasedStateMachine):
-    """Three nodes before two domains of engines."""
+    """Three nodes in front of two fabric domains of engines."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -82,7 +82,7 @@
         self.fleet = self.site.backends.fleet
         self.fleet.tells_starts = True
         self.count = 0
-        self.replies: dict[str, tuple[NotedReply, bytes, bool]] = {}
+        self.replies: dict[str, tuple[RecordedReply, bytes, bool]] = {}
         self.tasks: list[asyncio.Task[None]] = []
         self.do(self.site.start())
         self.wait(10.0)
@@ -96,12 +96,12 @@
 
     # Requests.
 
-    async def _ask(self, node: int, model: str, *, once: bool) -> None:
+    async def _send_request(self, node: int, model: str, *, once: bool) -> None:
         self.count += 1
         request_id = f"r{self.count}"
         body = f"request {self.count}".encode()
         path = self.site.nodes[node % len(self.site.nodes)].node.path
-        reply = NotedReply()
+        reply = RecordedReply()
         self.replies[request_id] = reply, body, once
         found = path.admission.find_route("lab", "/summary/1")
         if found.is_err():
@@ -128,8 +128,8 @@
         await path.dispatch.serve(admitted.unwrap(), reply)
 
     @rule(node=NODE, model=st.sampled_from(["m0", "m1"]), once=st.booleans())
-    def ask(self, node: int, model: str, once: bool) -> None:
-        task = self.loop.create_task(self._ask(node, model, once=once))
+    def caller_sends_request(self, node: int, model: str, once: bool) -> None:
+        task = self.loop.create_task(self._send_request(node, model, once=once))
         self.tasks.append(task)
         self.wait(0.03)
 
@@ -140,54 +140,54 @@
     # Faults.
 
     @rule(index=st.integers(0, 100))
-    def engine_dies(self, index: int) -> None:
-        living = [e for e in self.fleet.engines.values() if not e.is_dead]
-        if len(living) > LEAST_ENGINES:
-            self._kill(living[index % len(living)])
+    def engine_crashes(self, index: int) -> None:
+        alive = [e for e in self.fleet.engines.values() if not e.is_dead]
+        if len(alive) > MIN_ENGINES:
+            self._kill(alive[index % len(alive)])
 
     def _kill(self, engine: EngineModel) -> None:
         async def kill() -> None:
-            # The fleet asks the running loop for the time.
+            # The fleet reads the time from the running loop.
             self.fleet.kill(engine)
 
         self.do(kill())
 
     @rule(index=st.integers(0, 100))
-    def engine_starts_again(self, index: int) -> None:
-        living = [e for e in self.fleet.engines.values() if not e.is_dead]
-        engine = living[index % len(living)]
+    def engine_restarts(self, index: int) -> None:
+        alive = [e for e in self.fleet.engines.values() if not e.is_dead]
+        engine = alive[index % len(alive)]
 
         async def restart() -> None:
             self.site.backends.restart_engine(engine)
 
         self.do(restart())
 
-    @rule(index=st.integers(0, 100), value=st.sampled_from(SPOILED))
-    def entry_is_spoiled(self, index: int, value: bytes) -> None:
-        """Another writer spoils an entry; the next heartbeat that counts mends it."""
+    @rule(index=st.integers(0, 100), value=st.sampled_from(MALFORMED_ENTRIES))
+    def entry_is_malformed(self, index: int, value: bytes) -> None:
+        """Make an entry malformed; the next heartbeat that counts repairs it."""
         engines = list(self.fleet.engines)
         self.site.store.put(BACKENDS_TABLE, engines[index % len(engines)], value)
 
     @rule(domain=st.integers(0, DOMAINS - 1))
-    def engine_comes(self, domain: int) -> None:
+    def engine_arrives(self, domain: int) -> None:
         self.site.add_engine(domain)
 
     @rule(index=st.integers(0, 100))
     def engine_drains(self, index: int) -> None:
-        living = [e for e in self.fleet.engines.values() if not e.is_dead]
-        self.fleet.drain(living[index % len(living)])
+        alive = [e for e in self.fleet.engines.values() if not e.is_dead]
+        self.fleet.drain(alive[index % len(alive)])
 
     @rule(index=st.integers(0, 100), factor=st.sampled_from([1.0, 6.0]))
-    def engine_turns_slow(self, index: int, factor: float) -> None:
-        living = [e for e in self.fleet.engines.values() if not e.is_dead]
-        living[index % len(living)].slow_factor = factor
+    def engine_slows_down(self, index: int, factor: float) -> None:
+        alive = [e for e in self.fleet.engines.values() if not e.is_dead]
+        alive[index % len(alive)].slow_factor = factor
 
-    @rule(share=st.sampled_from([0.0, 0.4]))
-    def orders_are_late(self, share: float) -> None:
-        self.fleet.faults.late_share = share
+    @rule(fraction=st.sampled_from([0.0, 0.4]))
+    def orders_are_late(self, fraction: float) -> None:
+        self.fleet.faults.late_share = fraction
 
     @rule(is_down=st.booleans())
-    def store_goes(self, is_down: bool) -> None:
+    def store_fails_or_recovers(self, is_down: bool) -> None:
         self.site.store.faults.is_down = is_down
 
     @rule(count=st.integers(1, 3))
@@ -195,23 +195,23 @@
         self.site.store.faults.lost_answers = count
 
     @rule(node=NODE)
-    def node_is_turned_away_by_the_store(self, node: int) -> None:
+    def node_is_refused_by_the_store(self, node: int) -> None:
         name = self.site.nodes[node % len(self.site.nodes)].store.node_name
         self.site.store.faults.turned_away = {name}
 
     @rule(node=NODE)
-    def node_is_cut_off_from_the_others(self, node: int) -> None:
+    def node_is_cut_off_from_other_nodes(self, node: int) -> None:
         one = self.site.nodes[node % len(self.site.nodes)]
         address = one.node.settings.peer_address
         self.site.network.cut = lambda a, b: address in (a, b)
 
     @rule()
-    def planner_dies(self) -> None:
+    def planner_crashes(self) -> None:
         if len(self.site.nodes) > 1:
             self.do(self.site.kill_planner())
 
     @rule()
-    def everything_heals(self) -> None:
+    def everything_recovers(self) -> None:
         self.site.store.faults.is_down = False
         self.site.store.faults.lost_answers = 0
         self.site.store.faults.turned_away = set()
@@ -220,43 +220,43 @@
         for engine in self.fleet.engines.values():
             engine.slow_factor = 1.0
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
-    def groups_are_whole_and_engines_are_in_one(self) -> None:
+    def groups_are_complete_and_engines_in_one_group(self) -> None:
         self.fleet.check_serving()
         assert self.fleet.violations == []
 
     @invariant()
-    def one_node_plans_at_the_most(self) -> None:
+    def one_node_plans_at_most(self) -> None:
         async def holders() -> int:
             return sum(n.node.lease.is_held() for n in self.site.nodes)
 
         assert self.do(holders()) <= 1
 
     @invariant()
-    def answers_are_right_and_promises_kept(self) -> None:
+    def answers_are_correct_and_run_limits_kept(self) -> None:
         for request_id, (reply, body, once) in self.replies.items():
-            right = b"".join(event_bytes(body, index) for index in range(EVENTS))
-            assert right.startswith(reply.events)
-            assert not reply.is_whole or reply.events == right
+            expected = b"".join(event_bytes(body, index) for index in range(EVENTS))
+            assert expected.startswith(reply.events)
+            assert not reply.is_complete or reply.events == expected
             if once:
                 assert self.fleet.runs[request_id] <= 1
             if reply.failure is not None and reply.failure.ran is Ran.NO:
                 assert self.fleet.runs[request_id] == 0
 
     def teardown(self) -> None:
-        self.everything_heals()
+        self.everything_recovers()
         self.wait(DEADLINE_S + 2.0)
         for request_id, (reply, _, _) in self.replies.items():
             assert reply.is_final, f"{request_id} has no final answer by its deadline"
         for task in self.tasks:
             assert task.exception() is None
-        self.answers_are_right_and_promises_kept()
-        self.groups_are_whole_and_engines_are_in_one()
+        self.answers_are_correct_and_run_limits_kept()
+        self.groups_are_complete_and_engines_in_one_group()
         self.do(self.site.close())
         self.loop.close()
-        # The virtual clock looks through every task that is still in memory.
+        # The virtual clock iterates over every task that is still in memory.
         self.site = self.fleet = None
         self.replies.clear()
         self.tasks.clear()
