--- a/bench/entry_guards.py
+++ b/bench/entry_guards.py
@@ -19,15 +19,15 @@
         "entries: a place in a state that nobody names is none",
         "adapter/_decoding.py",
         "            return kind(text)\n",
-        "            return kind(text) if text in [*kind] else otherwise\n",
-        "tests/adapter/test_backend_entries.py -k spoiled",
+        "            return kind(text) if text in [*kind] else fallback\n",
+        "tests/adapter/test_backend_entries.py -k malformed",
     ),
     Guard(
         "entries: nesting that is too deep raises nothing else",
         "adapter/_decoding.py",
         "    except (ValueError, RecursionError) as error:\n",
         "    except ValueError as error:\n",
-        "tests/adapter/test_backend_entries.py -k spoiled",
+        "tests/adapter/test_backend_entries.py -k malformed",
     ),
     Guard(
         "starts: an earlier one's entry never replaces a later one's",
--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -160,8 +160,8 @@
     Guard(
         "UNASKED: headers of the system are its own",
         "adapter/_headers.py",
-        "    dropped = (_ONE_CONNECTION | _SET_BY_SYSTEM | named) - _ALWAYS_FORWARDED\n",
-        "    dropped = _ONE_CONNECTION | named\n",
+        "    dropped = (_HOP_BY_HOP | _SET_BY_SYSTEM | named) - _ALWAYS_FORWARDED\n",
+        "    dropped = _HOP_BY_HOP | named\n",
         f"{ADAPTER}/test_headers.py",
     ),
     Guard(
--- a/tests/adapter/test_backend_entries.py
+++ b/tests/adapter/test_backend_entries.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers, whoever has made them."""
+"""Decoding of backend servers' entries, valid and malformed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fordhatch_standins import backend_entry, entry_fields
 
 PLACE = {"name": "m.5", "epoch": 5, "rank": 0, "state": "open"}
-WHOLE = entry_fields(
+COMPLETE_ENTRY = entry_fields(
     "a",
     "10.0.0.1:80",
     domain="d0",
@@ -24,76 +24,74 @@
 )
 
 
-def changed(**changes: object) -> bytes:
-    return json.dumps({**WHOLE, **changes}).encode()
+def entry_with(**changes: object) -> bytes:
+    return json.dumps({**COMPLETE_ENTRY, **changes}).encode()
 
 
-def without(name: str) -> bytes:
-    return json.dumps({k: v for k, v in WHOLE.items() if k != name}).encode()
+def entry_without(name: str) -> bytes:
+    return json.dumps({k: v for k, v in COMPLETE_ENTRY.items() if k != name}).encode()
 
 
-def placed(**changes: object) -> bytes:
-    return changed(group={**PLACE, **changes})
+def entry_with_place(**changes: object) -> bytes:
+    return entry_with(group={**PLACE, **changes})
 
 
-SPOILED = {
-    "no text": b"\xff\xfe\x80",
+MALFORMED_ENTRIES = {
+    "not UTF-8": b"\xff\xfe\x80",
     "empty": b"",
-    "no JSON": b"{",
-    "no table": b"[1]",
-    "too deep": b"[" * 100_000,
-    "too deep inside": b'{"service": ' + b'{"a":' * 100_000,
-    "without its service": without("service"),
-    "without its address": without("address"),
-    "without its zone": without("zone"),
-    "without its state": without("state"),
-    "without its slots": without("slots"),
-    "without its software": without("version"),
-    "without its counter": without("seq"),
-    "service of another type": changed(service=5),
-    "service missing as null": changed(service=None),
-    "service empty": changed(service=""),
-    "address without a port": changed(address="10.0.0.1"),
-    "address with a name": changed(address="localhost:80"),
-    "address with port 0": changed(address="10.0.0.1:0"),
-    "address with too high a port": changed(address="10.0.0.1:70000"),
-    "address with more": changed(address="10.0.0.1:80/x"),
-    "a state that nobody names": changed(state="dancing"),
-    "slots not a number": changed(slots="13"),
-    "slots not whole": changed(slots=13.5),
-    "slots true": changed(slots=True),
-    "slots negative": changed(slots=-1),
-    "slots infinite": b'{"slots": Infinity,' + changed()[1:],
-    "slots not finite by size": changed(slots=0).replace(
+    "not JSON": b"{",
+    "not an object": b"[1]",
+    "nested too deep": b"[" * 100_000,
+    "nested too deep in a field": b'{"service": ' + b'{"a":' * 100_000,
+    "without a service": entry_without("service"),
+    "without an address": entry_without("address"),
+    "without a zone": entry_without("zone"),
+    "without a state": entry_without("state"),
+    "without slots": entry_without("slots"),
+    "without a version": entry_without("version"),
+    "without a sequence number": entry_without("seq"),
+    "service of another type": entry_with(service=5),
+    "service null": entry_with(service=None),
+    "service empty": entry_with(service=""),
+    "address without a port": entry_with(address="10.0.0.1"),
+    "address with a host name": entry_with(address="localhost:80"),
+    "address with port 0": entry_with(address="10.0.0.1:0"),
+    "address with a port out of range": entry_with(address="10.0.0.1:70000"),
+    "address with a path": entry_with(address="10.0.0.1:80/x"),
+    "unknown state": entry_with(state="dancing"),
+    "slots not a number": entry_with(slots="13"),
+    "slots not an integer": entry_with(slots=13.5),
+    "slots true": entry_with(slots=True),
+    "slots negative": entry_with(slots=-1),
+    "slots infinite": b'{"slots": Infinity,' + entry_with()[1:],
+    "slots overflowing to infinity": entry_with(slots=0).replace(
         b'"slots": 0', b'"slots": 1e999'
     ),
-    "slots huge": changed(slots=10**400),
-    "slots not a number by name": changed(slots=0).replace(
-        b'"slots": 0', b'"slots": NaN'
-    ),
-    "text with a line break": changed(zone="a\nb"),
-    "text with half a character": changed(zone="\ud800"),
-    "staged no list": changed(staged="m"),
-    "staged of numbers": changed(staged=[1]),
-    "models null": changed(models=None),
-    "staged null": changed(staged=None),
-    "a model without a name": changed(models=[{"version": 1}]),
-    "group no table": changed(group="m.5"),
-    "group without a name": placed(name=None),
-    "group with a rank of text": placed(rank="0"),
-    "group with an infinite epoch": placed(epoch=0).replace(
+    "slots huge": entry_with(slots=10**400),
+    "slots NaN": entry_with(slots=0).replace(b'"slots": 0', b'"slots": NaN'),
+    "text with a line break": entry_with(zone="a\nb"),
+    "text with a lone surrogate": entry_with(zone="\ud800"),
+    "staged not a list": entry_with(staged="m"),
+    "staged of numbers": entry_with(staged=[1]),
+    "models null": entry_with(models=None),
+    "staged null": entry_with(staged=None),
+    "a model without a name": entry_with(models=[{"version": 1}]),
+    "group not an object": entry_with(group="m.5"),
+    "group without a name": entry_with_place(name=None),
+    "group with a rank of text": entry_with_place(rank="0"),
+    "group with an infinite epoch": entry_with_place(epoch=0).replace(
         b'"epoch": 0', b'"epoch": 1e999'
     ),
-    "a place in a state that nobody names": placed(state="dancing"),
-    "start not whole": changed(born=1.5),
-    "start of text": changed(born="1760000000123"),
-    "start null": changed(born=None),
-    "start negative": changed(born=-1),
+    "group with an unknown state": entry_with_place(state="dancing"),
+    "start not an integer": entry_with(born=1.5),
+    "start of text": entry_with(born="1760000000123"),
+    "start null": entry_with(born=None),
+    "start negative": entry_with(born=-1),
 }
 
 
-def test_a_whole_entry_names_one_start_of_a_backend_server() -> None:
-    found = decode_backend("i-1", changed())
+def test_a_complete_entry_identifies_one_start_of_a_backend_server() -> None:
+    found = decode_backend("i-1", entry_with())
     assert found.registered_id == "i-1"
     assert found.born_ms == 1_760_000_000_123
     assert found.backend_id != "i-1"
@@ -101,22 +99,22 @@
     assert found.membership.state is MemberState.OPEN
 
 
-def test_an_entry_that_does_not_tell_its_start_is_known_by_its_id() -> None:
+def test_an_entry_without_a_start_time_is_identified_by_its_key() -> None:
     found = decode_backend("i-1", backend_entry("a", "10.0.0.1:80", state="draining"))
     assert found.backend_id == found.registered_id == "i-1"
     assert found.state is BackendState.DRAINING
 
 
-@pytest.mark.parametrize("name", SPOILED)
-def test_a_spoiled_entry_names_nobody(name: str) -> None:
+@pytest.mark.parametrize("name", MALFORMED_ENTRIES)
+def test_a_malformed_entry_is_rejected(name: str) -> None:
     with pytest.raises(DecodeError):
-        decode_backend("i-1", SPOILED[name])
+        decode_backend("i-1", MALFORMED_ENTRIES[name])
 
 
 @pytest.mark.parametrize("key", ["", "i 1", "i-1\r\nX-Tenant: t", "i-\u00e9"])
-def test_a_key_that_is_no_header_names_nobody(key: str) -> None:
+def test_a_key_that_is_not_a_valid_header_is_rejected(key: str) -> None:
     with pytest.raises(DecodeError):
-        decode_backend(key, changed())
+        decode_backend(key, entry_with())
 
 
 JSON = st.recursive(
@@ -126,10 +124,12 @@
 )
 
 
-@given(name=st.sampled_from([*WHOLE, "born", "other"]), value=JSON)
-def test_any_value_of_any_field_is_read_or_refused(name: str, value: object) -> None:
+@given(name=st.sampled_from([*COMPLETE_ENTRY, "born", "other"]), value=JSON)
+def test_any_value_of_any_field_is_decoded_or_rejected(
+    name: str, value: object
+) -> None:
     try:
-        found = decode_backend("i-1", changed(**{name: value}))
+        found = decode_backend("i-1", entry_with(**{name: value}))
     except DecodeError:
         return
     assert isinstance(found, BackendServer)
@@ -139,25 +139,25 @@
 
 
 @given(place=st.dictionaries(st.sampled_from([*PLACE, "x"]), JSON))
-def test_any_place_in_a_group_is_read_or_refused(place: dict[str, object]) -> None:
+def test_any_place_in_a_group_is_decoded_or_rejected(place: dict[str, object]) -> None:
     try:
-        found = decode_backend("i-1", changed(group=place))
+        found = decode_backend("i-1", entry_with(group=place))
     except DecodeError:
         return
     assert found.membership.rank >= 0
 
 
 @given(value=st.binary())
-def test_any_bytes_are_read_or_refused(value: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(value: bytes) -> None:
     with pytest.raises(DecodeError):
         decode_backend("i-1", value)
 
 
-@given(cut=st.integers(0, len(changed()) - 1), other=st.integers(0, 255))
-def test_an_entry_with_one_byte_changed_is_read_or_refused(
+@given(cut=st.integers(0, len(entry_with()) - 1), other=st.integers(0, 255))
+def test_an_entry_with_one_byte_changed_is_decoded_or_rejected(
     cut: int, other: int
 ) -> None:
-    value = bytearray(changed())
+    value = bytearray(entry_with())
     value[cut] = other
     try:
         found = decode_backend("i-1", bytes(value))
--- a/tests/adapter/test_backend_reports.py
+++ b/tests/adapter/test_backend_reports.py
@@ -1,17 +1,17 @@
-"""What the report of a backend server says, whoever has made it."""
+"""Decoding of backend servers' reports, and matching them with known starts."""
 
 from __future__ import annotations
 
 import pytest
 
 from fordhatch.adapter import BackendReport
-from fordhatch.adapter._backend_client import _report
+from fordhatch.adapter._backend_client import _decode_report
 from fordhatch.catalog import BackendServer, BackendState, incarnation_id
 
 BORN_MS = 1_760_000_000_000
 
 
-def backend(born_ms: int) -> BackendServer:
+def backend_born_at(born_ms: int) -> BackendServer:
     return BackendServer(
         incarnation_id("i-1", born_ms),
         "llm",
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known_ms", "told_ms", "is_of"),
+    ("known_ms", "reported_ms", "is_of"),
     [
         (BORN_MS, BORN_MS, True),
         (BORN_MS, BORN_MS + 1, False),
@@ -33,15 +33,17 @@
         (0, 0, True),
     ],
 )
-def test_another_start_under_the_id_is_no_sign_of_life(
-    known_ms: int, told_ms: int, is_of: bool
+def test_a_report_of_another_start_is_no_sign_of_life(
+    known_ms: int, reported_ms: int, is_of: bool
 ) -> None:
-    report = BackendReport(is_expected=True, born_ms=told_ms)
-    assert report.is_of(backend(known_ms)) is is_of
+    report = BackendReport(is_expected=True, born_ms=reported_ms)
+    assert report.is_of(backend_born_at(known_ms)) is is_of
 
 
-def test_another_id_is_no_sign_of_life() -> None:
-    assert not BackendReport(is_expected=False, born_ms=BORN_MS).is_of(backend(BORN_MS))
+def test_a_report_of_another_id_is_no_sign_of_life() -> None:
+    assert not BackendReport(is_expected=False, born_ms=BORN_MS).is_of(
+        backend_born_at(BORN_MS)
+    )
 
 
 @pytest.mark.parametrize(
@@ -59,13 +61,13 @@
         b'{"born": 1.5}',
     ],
 )
-def test_a_report_that_can_not_be_read_is_a_sign_of_life_only(body: bytes) -> None:
-    found = _report(body, is_expected=True)
-    assert found.is_of(backend(BORN_MS))
+def test_a_malformed_report_is_a_sign_of_life_only(body: bytes) -> None:
+    found = _decode_report(body, is_expected=True)
+    assert found.is_of(backend_born_at(BORN_MS))
     assert 0.0 < found.pace < 10.0
     assert found.born_ms == 0
 
 
-def test_a_whole_report_tells_pace_and_start() -> None:
-    found = _report(b'{"pace": 2.5, "born": %d}' % BORN_MS, is_expected=True)
+def test_a_complete_report_has_pace_and_start() -> None:
+    found = _decode_report(b'{"pace": 2.5, "born": %d}' % BORN_MS, is_expected=True)
     assert (found.pace, found.born_ms) == (2.5, BORN_MS)
--- a/tests/adapter/test_configuration.py
+++ b/tests/adapter/test_configuration.py
@@ -61,7 +61,7 @@
     return json.dumps({**CONFIGURATION, **changes}).encode()
 
 
-def test_a_configuration_becomes_routes_services_and_workspaces() -> None:
+def test_a_configuration_is_decoded_into_routes_services_and_workspaces() -> None:
     found = decode_configuration(encoded())
     (route,) = found.routes
     assert route.host == "ficu95.example"
@@ -78,12 +78,12 @@
     assert found.workspace_by_key["k2"].priority == 3
 
 
-def test_without_workspaces_keys_are_not_asked_for() -> None:
+def test_without_tenants_no_api_key_is_required() -> None:
     data = {k: v for k, v in CONFIGURATION.items() if k != "tenants"}
     assert decode_configuration(json.dumps(data).encode()).workspace_by_key is None
 
 
-def test_mistakes_carry_their_path() -> None:
+def test_each_mistake_has_the_path_of_its_field() -> None:
     route = {**ROUTE, "kind": "sometimes", "timeout-ms": "8 s"}
     with pytest.raises(DecodeError) as caught:
         decode_configuration(encoded(routes=[route]))
@@ -93,12 +93,12 @@
 
 
 @pytest.mark.parametrize("content", [b"{", b"[]", b'"x"'])
-def test_what_is_no_document_is_refused(content: bytes) -> None:
+def test_a_value_that_is_not_a_json_object_is_rejected(content: bytes) -> None:
     with pytest.raises(DecodeError):
         decode_configuration(content)
 
 
-def test_a_backend_entry_tells_its_place_in_a_group() -> None:
+def test_a_backend_entry_has_its_place_in_a_group() -> None:
     entry = backend_entry(
         "a",
         "10.0.0.1:80",
--- a/tests/adapter/test_headers.py
+++ b/tests/adapter/test_headers.py
@@ -33,7 +33,7 @@
 )
 
 
-def test_a_call_is_read() -> None:
+def test_caller_fields_are_decoded() -> None:
     fields = caller_fields(CALL)
     assert fields.request_id == "9c41"
     assert fields.deadline_s == 8.0
@@ -42,16 +42,16 @@
 
 
 @pytest.mark.parametrize("text", ["", "-5", "soon", "1e3"])
-def test_a_deadline_that_is_no_number_is_none(text: str) -> None:
+def test_a_malformed_deadline_is_ignored(text: str) -> None:
     assert caller_fields(CIMultiDict({"X-Deadline-Ms": text})).deadline_s is None
 
 
-def test_only_what_may_go_on_goes_on() -> None:
+def test_only_end_to_end_headers_are_forwarded() -> None:
     names = {name.lower() for name, _ in client_headers(CALL.items())}
     assert names == {
         "host",
         "x-attempt-id",
-        # Named by Connection, but the backend server must see what the caller sent.
+        # Named by Connection, but the backend server needs the caller's value.
         "x-model",
         "x-token-count",
         "x-prompt-prefix",
@@ -76,7 +76,7 @@
     assert "Api-Key" not in sent
 
 
-def test_without_workspace_none_is_claimed() -> None:
+def test_without_a_workspace_the_tenant_header_is_not_sent() -> None:
     sent = encode_call(
         client_headers(CALL.items()), registered_id="i", workspace=None, left_s=1
     )
@@ -96,19 +96,19 @@
     assert decode_answer(status, CIMultiDict(headers)).refusal is refusal
 
 
-def test_an_encoded_body_is_noticed() -> None:
+def test_an_encoded_body_is_detected() -> None:
     found = decode_answer(200, CIMultiDict({"Content-Encoding": "gzip"}))
     assert found.has_encoding
 
 
-def test_answers_lose_the_headers_of_their_connection() -> None:
+def test_answers_lose_hop_by_hop_headers() -> None:
     kept = answer_headers(
         [("Connection", "close"), ("X-Server-Seal", "s"), ("Content-Length", "3")]
     )
     assert kept == [("X-Server-Seal", "s")]
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_has_the_request_id_and_retry_after() -> None:
     assert refusal_headers("9c41", 0.25) == {
         "X-Attempt-Id": "9c41",
         "Retry-After": "0.250",
--- a/tests/adapter/test_settings.py
+++ b/tests/adapter/test_settings.py
@@ -45,7 +45,7 @@
 """
 
 
-def test_times_are_seconds_and_unknown_fields_are_ignored() -> None:
+def test_times_are_converted_to_seconds_and_unknown_fields_are_ignored() -> None:
     settings = decode_settings(SETTINGS)
     assert settings.bounds.revoke_s == 5.0
     assert settings.bounds.drain_s == 2.0
@@ -55,7 +55,7 @@
     assert settings.store.address == "10.200.1.7:8223"
 
 
-def test_every_mistake_is_named_at_once() -> None:
+def test_all_mistakes_are_reported_at_once() -> None:
     broken = (
         SETTINGS.replace("revoke-ms = 5000", 'revoke-ms = "long"')
         .replace('zone = "mobile-yard"', "")
@@ -72,6 +72,6 @@
     ]
 
 
-def test_what_is_not_toml_is_refused() -> None:
+def test_content_that_is_not_toml_is_rejected() -> None:
     with pytest.raises(DecodeError, match="not valid TOML"):
         decode_settings("node-name = ")
--- a/tests/adapter/test_store_client.py
+++ b/tests/adapter/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in, over real connections."""
+"""The store's client against the stand-in store, over real connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 KEY = RowKey("own", "k")
 
 
-def at(number: int) -> StoreVersion:
+def version_at(number: int) -> StoreVersion:
     return StoreVersion(0, number)
 
 
@@ -35,7 +35,7 @@
     await server.shutdown(0.1)
 
 
-async def test_rows_come_in_pages(store) -> None:
+async def test_rows_are_read_in_pages(store) -> None:
     model, client = store
     for index in range(7):
         model.put("own", f"k{index}", b"v%d" % index)
@@ -45,37 +45,41 @@
     rest = (await client.read("own", first_key="k4\0", timeout_s=1)).unwrap()
     assert [r.value for r in rest.rows] == [b"v5", b"v6"]
     assert not rest.has_more
-    assert rest.version == at(7)
+    assert rest.version == version_at(7)
 
 
-async def test_a_watch_hears_of_changes_and_removals(store) -> None:
+async def test_a_watch_returns_changes_and_removals(store) -> None:
     model, client = store
     model.put("own", "k", b"1")
-    watch = asyncio.ensure_future(client.watch("own", at(1), wait_s=2, timeout_s=3))
+    watch = asyncio.ensure_future(
+        client.watch("own", version_at(1), wait_s=2, timeout_s=3)
+    )
     await asyncio.sleep(0.02)
     model.remove("own", "k")
     changes = (await watch).unwrap()
     assert [(r.row_key.key, r.is_removed) for r in changes.rows] == [("k", True)]
-    assert changes.version == at(2)
+    assert changes.version == version_at(2)
 
 
 async def test_a_watch_without_changes_confirms_the_version(store) -> None:
     model, client = store
     model.put("other", "k", b"1")
-    changes = (await client.watch("own", at(0), wait_s=0.01, timeout_s=1)).unwrap()
+    changes = (
+        await client.watch("own", version_at(0), wait_s=0.01, timeout_s=1)
+    ).unwrap()
     assert changes.rows == ()
-    assert changes.version == at(1)
+    assert changes.version == version_at(1)
 
 
-async def test_a_forgotten_history_is_told_apart(store) -> None:
+async def test_a_watch_beyond_the_kept_history_fails_with_its_own_code(store) -> None:
     model, client = store
     model.put("own", "k", b"1")
     model.forget_history()
-    failed = await client.watch("own", at(0), wait_s=0.01, timeout_s=1)
+    failed = await client.watch("own", version_at(0), wait_s=0.01, timeout_s=1)
     assert failed.unwrap_err().code is ResultCode.STORE_HISTORY_GONE
 
 
-async def test_a_write_holds_only_under_its_condition(store) -> None:
+async def test_a_write_takes_effect_only_if_its_condition_holds(store) -> None:
     _, client = store
     made = (await client.write({KEY: ABSENT}, {KEY: b"a"}, timeout_s=1)).unwrap()
     assert made.is_committed
@@ -102,19 +106,21 @@
     assert len(model.rows) == 1
 
 
-async def test_a_silent_store_ends_the_call(store) -> None:
+async def test_a_call_to_a_silent_store_times_out(store) -> None:
     model, client = store
     model.faults.is_silent = True
     failed = await client.read("own", timeout_s=0.05)
     assert failed.unwrap_err().code is ResultCode.STORE_UNAVAILABLE
 
 
-async def test_connections_that_fell_silent_cost_one_call_only(store) -> None:
+async def test_silent_connections_fail_one_call_only(store) -> None:
     model, client = store
     model.put("own", "k", b"1")
     proxy = LoopbackProxy(int(client.address.rpartition(":")[2]))
     through = StoreClient.from_address(f"127.0.0.1:{await proxy.start()}")
-    watches = [through.watch("own", at(1), wait_s=0.1, timeout_s=5) for _ in range(3)]
+    watches = [
+        through.watch("own", version_at(1), wait_s=0.1, timeout_s=5) for _ in range(3)
+    ]
     assert all(got.is_ok() for got in await asyncio.gather(*watches))
     proxy.silence_open()
     lost = await through.read("own", timeout_s=0.2)
@@ -124,33 +130,35 @@
     await proxy.close()
 
 
-async def test_a_call_goes_on_when_another_has_found_its_connection_silent(
+async def test_calls_in_progress_continue_when_the_session_is_replaced(
     store,
 ) -> None:
     model, client = store
     model.put("own", "k", b"1")
-    watch = asyncio.ensure_future(client.watch("own", at(1), wait_s=5, timeout_s=6))
+    watch = asyncio.ensure_future(
+        client.watch("own", version_at(1), wait_s=5, timeout_s=6)
+    )
     await asyncio.sleep(0.05)
     first = client._session
-    client._leave(first)
+    client._replace_session(first)
     assert (await client.read("own", timeout_s=5)).is_ok()
     model.put("own", "k", b"2")
     assert (await watch).is_ok()
     assert first.closed
 
 
-def hold_the_loop(duration_s: float) -> None:
-    """Keep the loop from running, so that all that falls due comes in one turn."""
+def block_event_loop(duration_s: float) -> None:
+    """Block the event loop, so that all timers due meanwhile run in one iteration."""
     time.sleep(duration_s)
 
 
-async def test_a_change_that_comes_as_a_watch_ends_is_not_skipped() -> None:
+async def test_a_change_at_the_end_of_a_watch_is_not_skipped() -> None:
     model = StoreModel()
     version = model.put("own", "k", b"1")
     watch = asyncio.ensure_future(model.changes("own", version, wait_s=0.01))
     await asyncio.sleep(0)
-    # Due after the end of the watch, and before the watch itself goes on.
+    # Due after the timeout of the watch and before the watch resumes.
     asyncio.get_running_loop().call_later(0.011, model.put, "own", "k", b"2")
-    hold_the_loop(0.05)
+    block_event_loop(0.05)
     found = await watch
     assert [row.value for row in found] == [b"2"]
