--- a/bench/own_guards.py
+++ b/bench/own_guards.py
@@ -69,16 +69,16 @@
     Guard(
         "frames are authenticated",
         "protocol/_codec.py",
-        "    if not hmac.compare_digest(seal(key, sequence, body), mac):\n",
+        "    if not hmac.compare_digest(compute_mac(key, sequence, body), mac):\n",
         "    if False:\n",
         f"{PROTOCOL} -k flipped",
     ),
     Guard(
         "strangers are refused",
         "protocol/_link.py",
-        '        if not secrets.compare_digest(proof.mac, derive_key(other, b"proof")):\n',
+        '        if not secrets.compare_digest(proof.mac, derive_key(receive_key, b"proof")):\n',
         "        if False:\n",
-        f"{PROTOCOL} -k stranger_without",
+        f"{PROTOCOL} -k peer_without",
     ),
     Guard(
         "a stranger's frames are short",
--- a/packages/core/src/fordhatch/core/_invariant.py
+++ b/packages/core/src/fordhatch/core/_invariant.py
@@ -13,7 +13,7 @@
     """Remembers whether an invariant of one part has failed."""
 
     part: str
-    tripped: bool = False
+    is_violated: bool = False
     violations: list[str] = attrs.field(factory=list)
 
     def check(self, holds: bool, name: str, **facts: object) -> bool:
@@ -29,7 +29,7 @@
         """
         if holds:
             return True
-        self.tripped = True
+        self.is_violated = True
         self.violations.append(name)
         INVARIANT_VIOLATIONS.labels(name).inc()
         log_event("invariant_violated", part=self.part, invariant=name, **facts)
--- a/packages/core/src/fordhatch/core/_line_writer.py
+++ b/packages/core/src/fordhatch/core/_line_writer.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-MAX_WAITING_LINES = 4000
+MAX_QUEUED_LINES = 4000
 """Lines that wait for a slow reader; more are dropped and counted."""
 
 LINES_PER_S = 400.0
@@ -19,7 +19,7 @@
 BURST_LINES = 1600.0
 """Lines that may be written at once after a quiet time."""
 
-BATCH_S = 0.05
+BATCH_INTERVAL_S = 0.05
 """Time in which lines gather into one write."""
 
 
@@ -35,19 +35,19 @@
     lines_per_s: float = LINES_PER_S
     dropped: int = 0
     _tokens: float = BURST_LINES
-    _filled_s: float = attrs.field(factory=time.monotonic)
+    _refilled_s: float = attrs.field(factory=time.monotonic)
     _lines: deque[str] = attrs.field(factory=deque)
     _wake: threading.Event = attrs.field(factory=threading.Event)
     _thread: threading.Thread | None = None
 
     def start(self) -> None:
         """Start the thread that writes."""
-        self._thread = threading.Thread(target=self._write_all, daemon=True)
+        self._thread = threading.Thread(target=self._write_loop, daemon=True)
         self._thread.start()
 
     def write(self, line: str) -> None:
         """Take a line without its end; never waits."""
-        if len(self._lines) >= MAX_WAITING_LINES or not self._take_token():
+        if len(self._lines) >= MAX_QUEUED_LINES or not self._take_token():
             self.dropped += 1
             return
         self._lines.append(line)
@@ -55,18 +55,18 @@
 
     def _take_token(self) -> bool:
         now_s = time.monotonic()
-        earned = (now_s - self._filled_s) * self.lines_per_s
+        earned = (now_s - self._refilled_s) * self.lines_per_s
         self._tokens = min(self._tokens + earned, BURST_LINES)
-        self._filled_s = now_s
+        self._refilled_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _write_all(self) -> None:
+    def _write_loop(self) -> None:
         while True:
             self._wake.wait()
-            time.sleep(BATCH_S)
+            time.sleep(BATCH_INTERVAL_S)
             self._wake.clear()
             self.flush()
 
--- a/packages/core/src/fordhatch/core/_log.py
+++ b/packages/core/src/fordhatch/core/_log.py
@@ -50,10 +50,10 @@
 
 def format_line(node_id: str, message: dict[str, object]) -> str:
     """Return the key=value line for an eliot message."""
-    moment_s = float(message.get("timestamp", 0.0))  # type: ignore[arg-type]
-    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(moment_s))
+    timestamp_s = float(message.get("timestamp", 0.0))  # type: ignore[arg-type]
+    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(timestamp_s))
     parts = [
-        f"time={stamp}.{int(moment_s % 1 * 1000):03d}Z",
+        f"time={stamp}.{int(timestamp_s % 1 * 1000):03d}Z",
         f"node={node_id}",
         f"event={message.get('message_type', 'traceback')}",
     ]
--- a/packages/core/src/fordhatch/core/_timer.py
+++ b/packages/core/src/fordhatch/core/_timer.py
@@ -18,10 +18,10 @@
 from ._log import log_event
 from ._suspension import Suspension
 
-CANCEL_AGAIN_S = 0.1
+CANCEL_RETRY_INTERVAL_S = 0.1
 """A task that has not ended this long after its cancellation is cancelled again."""
 
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 """Pause before a part that failed is started again."""
 
 
@@ -48,12 +48,12 @@
 
     def now_s(self) -> float:
         """Return monotonic seconds, which go on while the machine is suspended."""
-        suspended_s = self.suspension.look()
+        suspended_s = self.suspension.poll()
         if suspended_s:
-            self._resumed(suspended_s)
+            self._on_resume(suspended_s)
         return asyncio.get_running_loop().time() + self.suspension.total_s
 
-    def _resumed(self, suspended_s: float) -> None:
+    def _on_resume(self, suspended_s: float) -> None:
         """Bring forward the deadlines of what has waited through a suspension."""
         metrics.SUSPENDED_SECONDS.inc(suspended_s)
         log_event("machine_resumed", suspended_s=round(suspended_s, 3))
@@ -140,7 +140,7 @@
             except Exception as error:
                 # A part that ends for good would take the node's duty with it.
                 log_event("part_restarted", part=name, error=repr(error))
-            await self.sleep(self.jittered(RESTART_PAUSE_S))
+            await self.sleep(self.jittered(RESTART_DELAY_S))
 
 
 @attrs.define
@@ -154,10 +154,10 @@
         task = asyncio.ensure_future(coroutine)
         task.set_name(name)  # type: ignore[attr-defined]
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task[object]) -> None:
+    def _on_done(self, task: asyncio.Task[object]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
@@ -182,4 +182,4 @@
             while pending:
                 for task in pending:
                     task.cancel()
-                _, pending = await asyncio.wait(pending, timeout=CANCEL_AGAIN_S)
+                _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_INTERVAL_S)
--- a/packages/core/tests/test_docs_tables.py
+++ b/packages/core/tests/test_docs_tables.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parents[3]
 EVENT = re.compile(r'(?:log_event|self\._log)\(\s*"(\w+)"(?:\s+if[^,]*else\s+"(\w+)")?')
-WRITTEN_BY_HAND = {"lines_dropped"}  # the line writer can't log through itself
+WRITTEN_DIRECTLY = {"lines_dropped"}  # the line writer can't log through itself
 SECRET_FIELDS = {"body", "prompt", "api_key", "token_text", "headers", "content"}
 
 
@@ -19,7 +19,7 @@
 
 def test_every_log_event_stands_in_the_table() -> None:
     pairs = [pair for text in sources() for pair in EVENT.findall(text)]
-    in_code = {name for pair in pairs for name in pair if name} | WRITTEN_BY_HAND
+    in_code = {name for pair in pairs for name in pair if name} | WRITTEN_DIRECTLY
     table = (ROOT / "docs" / "LOGS.md").read_text()
     in_docs = set(re.findall(r"^\| `(\w+)` \|", table, re.MULTILINE))
     assert in_docs == in_code
--- a/packages/core/tests/test_line_writer.py
+++ b/packages/core/tests/test_line_writer.py
@@ -3,7 +3,7 @@
 import os
 
 from fordhatch.core import LineWriter
-from fordhatch.core._line_writer import MAX_WAITING_LINES
+from fordhatch.core._line_writer import MAX_QUEUED_LINES
 
 
 def test_a_reader_that_stops_costs_lines_and_never_waits() -> None:
@@ -14,13 +14,13 @@
     writer.start()
     # Nobody reads: a write that waited would never return, and without a limit to what
     # may wait no line would ever be dropped. The thread may still take lines meanwhile.
-    for _ in range(100 * MAX_WAITING_LINES):
+    for _ in range(100 * MAX_QUEUED_LINES):
         writer.write("event=x " + "y" * 100)
         if writer.dropped:
             break
     else:
         raise AssertionError("no line was dropped")
-    assert len(writer._lines) <= MAX_WAITING_LINES
+    assert len(writer._lines) <= MAX_QUEUED_LINES
 
 
 def test_lines_keep_within_their_budget_and_the_loss_is_said() -> None:
--- a/packages/core/tests/test_suspension.py
+++ b/packages/core/tests/test_suspension.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fordhatch.core import Suspension, Timer
-from fordhatch.core._suspension import LEAST_S
+from fordhatch.core._suspension import MIN_SUSPENSION_S
 
 
 @attrs.define
@@ -36,12 +36,12 @@
     suspension = clocks.suspension()
     clocks.steady_s += 10.0
     clocks.boot_s += 10.0
-    assert suspension.look() == 0.0
+    assert suspension.poll() == 0.0
     clocks.boot_s += 4.0
-    assert suspension.look() == pytest.approx(4.0)
-    assert suspension.look() == 0.0
+    assert suspension.poll() == pytest.approx(4.0)
+    assert suspension.poll() == 0.0
     clocks.boot_s += 0.5
-    assert suspension.look() == pytest.approx(0.5)
+    assert suspension.poll() == pytest.approx(0.5)
     assert suspension.total_s == pytest.approx(4.5)
 
 
@@ -49,10 +49,10 @@
     clocks = Clocks()
     suspension = clocks.suspension()
     clocks.pause_s = 3.0
-    assert suspension.look() == 0.0
+    assert suspension.poll() == 0.0
     assert suspension.total_s == 0.0
-    clocks.boot_s += LEAST_S / 2
-    assert suspension.look() == 0.0
+    clocks.boot_s += MIN_SUSPENSION_S / 2
+    assert suspension.poll() == 0.0
 
 
 def test_looking_costs_next_to_nothing() -> None:
@@ -60,7 +60,7 @@
     suspension = Suspension()
     began_s = time.process_time()
     for _ in range(10_000):
-        suspension.look()
+        suspension.poll()
     assert time.process_time() - began_s < 0.1
     assert suspension.total_s == 0.0
 
--- a/packages/protocol/src/fordhatch/protocol/__init__.py
+++ b/packages/protocol/src/fordhatch/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between fordhatch nodes and the msgpack streams that carry them."""
+"""Messages between nodes and the authenticated msgpack streams that carry them."""
 
 from __future__ import annotations
 
--- a/packages/protocol/src/fordhatch/protocol/_codec.py
+++ b/packages/protocol/src/fordhatch/protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages, with a message authentication code on every frame."""
+"""Message encoding, with a message authentication code (MAC) on every frame."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     "MAC_BYTES",
     "MAX_FRAME_BYTES",
     "FrameError",
+    "compute_mac",
     "decode",
     "derive_key",
     "encode",
-    "seal",
     "verify",
 ]
 
 MAC_BYTES = 16
-"""Length of the authentication code."""
+"""Length of a frame's authentication code."""
 
 
 def derive_key(shared_key: bytes, *parts: bytes) -> bytes:
-    """Return a key for one purpose or connection."""
+    """Derive a key for one purpose or connection from the shared key."""
     mac = hmac.new(shared_key, digestmod=hashlib.sha256)
     for part in parts:
         mac.update(len(part).to_bytes(4, "big") + part)
@@ -36,7 +36,7 @@
 
 
 def encode(channel: int, message: object) -> bytes:
-    """Return the body of a frame.
+    """Encode a message as the body of a frame.
 
     Args:
         channel: Number of the channel within the connection.
@@ -50,7 +50,10 @@
 
 
 def decode(body: bytes) -> tuple[int, Any]:
-    """Return the channel and message of a frame's body.
+    """Decode the body of a frame.
+
+    Returns:
+        The channel number and the message.
 
     Raises:
         FrameError: If the body is not a well-formed message.
@@ -62,8 +65,12 @@
         raise FrameError(repr(error)) from error
 
 
-def seal(key: bytes, sequence: int, body: bytes) -> bytes:
-    """Return the authentication code of a frame at its place in the stream."""
+def compute_mac(key: bytes, sequence: int, body: bytes) -> bytes:
+    """Compute the authentication code of a frame.
+
+    The sequence number of the frame within the stream is covered, so a frame that is
+    replayed, dropped or reordered fails verification.
+    """
     mac = hashlib.blake2b(key=key, digest_size=MAC_BYTES)
     mac.update(sequence.to_bytes(8, "big"))
     mac.update(body)
@@ -71,10 +78,10 @@
 
 
 def verify(key: bytes, sequence: int, body: bytes, mac: bytes) -> None:
-    """Check a frame's authentication code.
+    """Verify the authentication code of a frame.
 
     Raises:
-        FrameError: If the code is wrong.
+        FrameError: If the code does not match.
     """
-    if not hmac.compare_digest(seal(key, sequence, body), mac):
+    if not hmac.compare_digest(compute_mac(key, sequence, body), mac):
         raise FrameError("authentication failed")
--- a/packages/protocol/src/fordhatch/protocol/_frame_error.py
+++ b/packages/protocol/src/fordhatch/protocol/_frame_error.py
@@ -1,4 +1,4 @@
-"""What makes a frame unusable, and the limit of its length."""
+"""Frame errors and the frame length limit."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import msgpack
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Longest frame that a node accepts, and longest content of a compressed part."""
+"""Maximum length of a frame, and of decompressed rows."""
 
 UNPACK_ERRORS = (zlib.error, msgpack.UnpackException, msgpack.exceptions.ExtraData)
-"""What unpacking raises on bytes that are no message."""
+"""Exceptions that unpacking raises on malformed bytes."""
 
 
 class FrameError(Exception):
-    """A frame was malformed, too long or not authenticated."""
+    """A frame is malformed, too long or not authenticated."""
--- a/packages/protocol/src/fordhatch/protocol/_link.py
+++ b/packages/protocol/src/fordhatch/protocol/_link.py
@@ -1,4 +1,4 @@
-"""One authenticated msgpack stream between two nodes, shared by many channels."""
+"""Authenticated msgpack stream between two nodes that multiplexes many channels."""
 
 from __future__ import annotations
 
@@ -25,39 +25,46 @@
     MAC_BYTES,
     MAX_FRAME_BYTES,
     FrameError,
+    compute_mac,
     decode,
     derive_key,
     encode,
-    seal,
     verify,
 )
-from ._messages import ONE_ANSWER, PROTOCOL_VERSION, Close, Hello, Proof, Refused
+from ._messages import (
+    PROTOCOL_VERSION,
+    SINGLE_ANSWER_REQUESTS,
+    Close,
+    Hello,
+    Proof,
+    Refused,
+)
 
 HANDSHAKE_TIMEOUT_S = 3.0
-"""How long a new connection may take to prove itself."""
+"""Timeout of the handshake on a new connection."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""How long connecting to a node may take."""
+"""Timeout of the TCP connection to a node."""
 
 LENGTH_BYTES = 4
-"""Bytes of a frame's length prefix."""
+"""Size of a frame's length prefix."""
 
 DRAIN_ABOVE_BYTES = 256 * 1024
-"""A sender waits for the socket when more than this is buffered."""
+"""A sender waits for the socket when its write buffer exceeds this size."""
 
 Handler = Callable[[Any, "Channel"], Awaitable[None]]
 """Serves one incoming request on its channel."""
 
 
 def to_refused(failure: Failure) -> Refused:
-    """Return the message form of a failure."""
+    """Convert a failure to the message that reports it."""
     return Refused(
         int(failure.code), failure.message, failure.ran.value, failure.retry_after_s
     )
 
 
 def to_failure(refused: Refused) -> Failure:
-    """Return the failure that a message carries."""
+    """Convert a received ``Refused`` message to its failure."""
     return Failure(
         ResultCode(refused.code),
         refused.text,
@@ -69,7 +76,16 @@
 async def receive_from(
     inbox: asyncio.Queue[Any], timeout_s: float | None
 ) -> Result[Any, Failure]:
-    """Return the next message of an inbox; None in it means that the link broke."""
+    """Return the next message of an inbox.
+
+    Args:
+        inbox: Queue of received messages; None in it marks the end of the channel.
+        timeout_s: Maximum wait in seconds; None waits without limit.
+
+    Returns:
+        The message, or a failure: ``DEADLINE_EXCEEDED`` after the timeout,
+        ``PEER_UNREACHABLE`` when the channel ended, or the one of a ``Refused``.
+    """
     if inbox.empty():
         try:
             message = await asyncio.wait_for(inbox.get(), timeout_s)
@@ -86,26 +102,30 @@
 
 @attrs.define(eq=False, repr=False)
 class Channel:
-    """One request with its answers inside a link."""
+    """One request and its answers, multiplexed over a link."""
 
     link: Link
     number: int
-    has_one_answer: bool = False
-    """Whether the first answer is the last, so that nobody need say so."""
+    has_single_answer: bool = False
+    """Whether the first answer is the last, so that no ``Close`` is needed."""
     is_answered: bool = False
     serving: asyncio.Task[object] | None = None
-    """What serves the request, on the side that does."""
+    """Task that serves the request; None on the side that sent it."""
     _inbox: asyncio.Queue[Any] = attrs.field(factory=asyncio.Queue)
     closed: asyncio.Event = attrs.field(factory=asyncio.Event)
-    """Set when the other side closed the channel or the link broke."""
+    """Set when the peer closed the channel or the link broke."""
 
     @property
     def peer_name(self) -> str:
-        """The node at the other end."""
+        """Name of the node at the other end."""
         return self.link.peer_name
 
     async def send(self, message: object) -> Result[None, Failure]:
-        """Send a message to the other side, if it still listens."""
+        """Send a message to the peer.
+
+        Returns:
+            ``PEER_UNREACHABLE`` when the peer closed the channel or the link broke.
+        """
         if self.closed.is_set():
             return Err(Failure.from_code(ResultCode.PEER_UNREACHABLE))
         if self.serving is not None:
@@ -116,22 +136,22 @@
         """Return the next message, or a failure when the link broke.
 
         Args:
-            timeout_s: Longest wait; None waits as long as the link lives.
+            timeout_s: Maximum wait in seconds; None waits until the link breaks.
 
         Returns:
-            The message; a received ``Refused`` comes back as its failure, and
-            ``DEADLINE_EXCEEDED`` means only that nothing came in time.
+            The message. A received ``Refused`` is returned as its failure;
+            ``DEADLINE_EXCEEDED`` means that no message arrived within the timeout.
         """
         return await receive_from(self._inbox, timeout_s)
 
     async def close(self) -> None:
-        """End the channel; the other side cancels what it does for it."""
-        is_done = self.has_one_answer and self.is_answered
+        """Close the channel; the peer cancels its work on the request."""
+        is_done = self.has_single_answer and self.is_answered
         if self.link.forget(self.number) and not (is_done or self.closed.is_set()):
             await self.link.send(self.number, Close())
 
     def deliver(self, message: object | None) -> None:
-        """Take a message from the link; None means that the channel ended."""
+        """Queue a message received by the link; None means that the channel ended."""
         if message is not None:
             self.is_answered = True
             self._inbox.put_nowait(message)
@@ -144,7 +164,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Link:
-    """An authenticated connection; one task reads it."""
+    """An authenticated connection, read by a single task."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -155,9 +175,9 @@
     is_client: bool
     peer_name: str = ""
     last_used_s: float = 0.0
-    """When a request was last sent, in monotonic seconds."""
+    """Monotonic time of the last request sent."""
     last_received_s: float = -math.inf
-    """When anything was last received, in monotonic seconds."""
+    """Monotonic time of the last frame received."""
     alive: bool = False
     _send_key: bytes = b""
     _receive_key: bytes = b""
@@ -169,40 +189,43 @@
 
     @property
     def busy(self) -> bool:
-        """Whether any request is in progress."""
+        """Whether a request is in progress."""
         return bool(self._channels)
 
     async def handshake(self) -> None:
-        """Prove the shared key to each other.
+        """Authenticate both nodes with the shared key and derive the session keys.
 
         Raises:
-            FrameError: If the other side is a stranger or speaks another version.
+            FrameError: If the peer does not have the shared key or uses another
+                protocol version.
         """
         nonce = secrets.token_bytes(16)
         hello = Hello(PROTOCOL_VERSION, self.node_name, nonce)
         self._write_raw(encode(0, hello))
-        theirs = await self._read_plain(Hello)
-        if theirs.version != PROTOCOL_VERSION:
-            raise FrameError(f"protocol version {theirs.version}")
-        self.peer_name = theirs.node_name
-        ours_first = [nonce, theirs.nonce] if self.is_client else [theirs.nonce, nonce]
-        names = [self.node_name.encode(), theirs.node_name.encode()]
+        peer_hello = await self._read_handshake_message(Hello)
+        if peer_hello.version != PROTOCOL_VERSION:
+            raise FrameError(f"protocol version {peer_hello.version}")
+        self.peer_name = peer_hello.node_name
+        nonces = (
+            [nonce, peer_hello.nonce] if self.is_client else [peer_hello.nonce, nonce]
+        )
+        names = [self.node_name.encode(), peer_hello.node_name.encode()]
         if not self.is_client:
             names.reverse()
-        session = derive_key(self.shared_key, b"session", *ours_first, *names)
+        session = derive_key(self.shared_key, b"session", *nonces, *names)
         to_server = derive_key(session, b"to-server")
         to_client = derive_key(session, b"to-client")
-        mine, other = (
+        send_key, receive_key = (
             (to_server, to_client) if self.is_client else (to_client, to_server)
         )
-        self._write_raw(encode(0, Proof(derive_key(mine, b"proof"))))
-        proof = await self._read_plain(Proof)
-        if not secrets.compare_digest(proof.mac, derive_key(other, b"proof")):
+        self._write_raw(encode(0, Proof(derive_key(send_key, b"proof"))))
+        proof = await self._read_handshake_message(Proof)
+        if not secrets.compare_digest(proof.mac, derive_key(receive_key, b"proof")):
             raise FrameError("authentication failed")
-        self._send_key, self._receive_key = mine, other
+        self._send_key, self._receive_key = send_key, receive_key
         self.alive = True
 
-    async def _read_plain(self, kind: type) -> Any:
+    async def _read_handshake_message(self, kind: type) -> Any:
         body = await self._read_frame()
         message = decode(body)[1]
         if not isinstance(message, kind):
@@ -211,7 +234,7 @@
 
     async def _read_frame(self) -> bytes:
         length = int.from_bytes(await self.reader.readexactly(LENGTH_BYTES), "big")
-        # A stranger may not make a node reserve memory before the handshake.
+        # An unauthenticated peer must not make the node allocate large buffers.
         limit = MAX_FRAME_BYTES if self.alive else 1024
         if length > limit:
             raise FrameError("frame too long")
@@ -224,12 +247,13 @@
         """Send a message on a channel.
 
         Returns:
-            A failure with ``ran`` no when the link is already known to be broken.
+            A failure with ``ran`` no when the link was already closed, and with
+            ``ran`` maybe when it broke while sending.
         """
         if not self.alive:
             return Err(Failure.from_code(ResultCode.PEER_UNREACHABLE))
         body = encode(channel, message)
-        mac = seal(self._send_key, self._sent, body)
+        mac = compute_mac(self._send_key, self._sent, body)
         self._sent += 1
         metrics.peer_messages("sent", type(message).__name__).inc()
         metrics.PEER_BYTES_SENT.inc(len(body) + MAC_BYTES + LENGTH_BYTES)
@@ -244,18 +268,25 @@
         return Ok(None)
 
     def open(self, message: object) -> Channel:
-        """Return a new channel that this side starts, for a request."""
-        channel = Channel(self, self._next_channel, type(message) in ONE_ANSWER)
+        """Open a channel for a request from this side.
+
+        Args:
+            message: The request; its type decides how many answers are expected.
+                It is not sent here.
+        """
+        channel = Channel(
+            self, self._next_channel, type(message) in SINGLE_ANSWER_REQUESTS
+        )
         self._channels[self._next_channel] = channel
         self._next_channel += 1
         return channel
 
     def forget(self, number: int) -> bool:
-        """Drop a channel; returns whether it was still known."""
+        """Remove a channel and return whether it was still open."""
         return self._channels.pop(number, None) is not None
 
     async def run(self) -> None:
-        """Read frames until the connection ends."""
+        """Read and dispatch frames until the connection ends."""
         try:
             while True:
                 frame = await self._read_frame()
@@ -279,13 +310,13 @@
         if channel is not None:
             channel.deliver(None if isinstance(message, Close) else message)
         elif self.handler is not None and not isinstance(message, Close):
-            channel = Channel(self, number, type(message) in ONE_ANSWER)
+            channel = Channel(self, number, type(message) in SINGLE_ANSWER_REQUESTS)
             self._channels[number] = channel
             serving = self._serve(channel, message)
             channel.serving = self._tasks.spawn(serving, "link-handler")
 
     async def _serve(self, channel: Channel, message: Any) -> None:
-        """Serve one request; its task is cancelled when the other side ends it."""
+        """Serve one request; the task is cancelled when the peer closes the channel."""
         try:
             await self.handler(message, channel)
         except asyncio.CancelledError:
@@ -298,7 +329,7 @@
             await channel.close()
 
     async def close(self) -> None:
-        """Close the connection; every open channel ends."""
+        """Close the connection and end every open channel."""
         self.alive = False
         for channel in list(self._channels.values()):
             channel.deliver(None)
--- a/packages/protocol/src/fordhatch/protocol/_messages.py
+++ b/packages/protocol/src/fordhatch/protocol/_messages.py
@@ -1,4 +1,7 @@
-"""Typed messages between nodes; each class has a number that never changes."""
+"""Typed messages between nodes.
+
+Each message class has a tag, a number that never changes.
+"""
 
 from __future__ import annotations
 
@@ -8,23 +11,23 @@
 import attrs
 
 PROTOCOL_VERSION = 5
-"""Raised when a message changes in a way that older nodes cannot read."""
+"""Incremented when a message changes in a way that older nodes cannot decode."""
 
 MESSAGE_BY_TAG: dict[int, type] = {}
-"""Message class by number."""
+"""Message class by tag."""
 
 TAG_BY_MESSAGE: dict[type, int] = {}
-"""Number by message class."""
+"""Tag by message class."""
 
 C = TypeVar("C", bound=type)
 
 
 class FieldError(TypeError):
-    """A field of a message has another type than it must have."""
+    """A message field has an invalid type or value."""
 
 
 def message(tag: int) -> Callable[[C], C]:
-    """Register a message class under its number."""
+    """Register a message class under its tag."""
 
     def register(cls: C) -> C:
         assert tag not in MESSAGE_BY_TAG, f"tag {tag} is taken"
@@ -35,8 +38,8 @@
     return register
 
 
-def _exactly(*kinds: type) -> Any:
-    """Return a field that takes values of these very types."""
+def _typed_field(*kinds: type) -> Any:
+    """Return a field that accepts exactly these types, without subclasses."""
 
     def check(_: object, attribute: attrs.Attribute, value: object) -> None:
         if type(value) not in kinds:
@@ -46,22 +49,25 @@
     return attrs.field(validator=check)
 
 
-def _number(value: object) -> object:
+def _to_float(value: object) -> object:
     return float(value) if type(value) is int else value
 
 
-def _seconds(**options: Any) -> Any:
-    """Return a field for a duration; whole numbers are taken as well."""
+def _seconds_field(**options: Any) -> Any:
+    """Return a field for a duration; integers are accepted and converted."""
 
     def check(_: object, attribute: attrs.Attribute, value: object) -> None:
         if type(value) is not float and (value is not None or not options):
             raise FieldError(f"{attribute.name}: expected a number")
 
-    return attrs.field(converter=_number, validator=check, **options)
+    return attrs.field(converter=_to_float, validator=check, **options)
 
 
 VersionPair = list[int]
-"""A version of the store: its generation, and its counter within that."""
+"""A version of the store: its generation and its counter within that generation.
+
+The store gets a new generation when it is restored from a backup.
+"""
 
 
 def _is_version(value: object) -> bool:
@@ -84,11 +90,11 @@
 @message(1)
 @attrs.frozen
 class Hello:
-    """First frame of each side: who speaks, which version, and a nonce."""
+    """First frame of each side: protocol version, node name and nonce."""
 
-    version: int = _exactly(int)
-    node_name: str = _exactly(str)
-    nonce: bytes = _exactly(bytes)
+    version: int = _typed_field(int)
+    node_name: str = _typed_field(str)
+    nonce: bytes = _typed_field(bytes)
 
 
 @message(2)
@@ -96,82 +102,85 @@
 class Proof:
     """Proves knowledge of the shared key for both nonces."""
 
-    mac: bytes = _exactly(bytes)
+    mac: bytes = _typed_field(bytes)
 
 
 @message(3)
 @attrs.frozen
 class Close:
-    """Ends a channel; on a request in progress it cancels the work."""
+    """Closes a channel; a request in progress is cancelled."""
 
 
 @message(4)
 @attrs.frozen
 class Refused:
-    """A request failed; mirrors ``fordhatch.core.Failure``."""
+    """Reports a failed request; mirrors ``fordhatch.core.Failure``."""
 
-    code: int = _exactly(int)
-    text: str = _exactly(str)
-    ran: str = _exactly(str)
-    retry_after_s: float | None = _seconds(default=None)
+    code: int = _typed_field(int)
+    text: str = _typed_field(str)
+    ran: str = _typed_field(str)
+    retry_after_s: float | None = _seconds_field(default=None)
 
 
 @message(50)
 @attrs.frozen
 class QueryStatus:
-    """Asks a node for what it has in force."""
+    """Requests the status of a node."""
 
 
 @message(51)
 @attrs.frozen
 class StatusReply:
-    """What a node has in force."""
-
-    node_name: str = _exactly(str)
-    start_id: str = _exactly(str)
-    """Names this start of the node."""
-    configuration_version: int = _exactly(int)
-    is_ready: bool = _exactly(bool)
-    is_planner: bool = _exactly(bool)
+    """Status of a node, in particular which configuration is in effect there."""
+
+    node_name: str = _typed_field(str)
+    start_id: str = _typed_field(str)
+    """Identifies this start of the node."""
+    configuration_version: int = _typed_field(int)
+    is_ready: bool = _typed_field(bool)
+    is_planner: bool = _typed_field(bool)
     lease_version: VersionPair = attrs.field(validator=_version)
-    """Of the planner's lease, as the node knows it."""
-    configuration_age_s: float = _seconds()
-    """How long ago the store was asked that confirmed what the node has in force."""
+    """Version of the planner's lease that the node knows."""
+    configuration_age_s: float = _seconds_field()
+    """Age of the store query that last confirmed the configuration, in seconds."""
 
 
 @message(62)
 @attrs.frozen
 class WatchTables:
-    """Asks a node for changes of tables of the store that it follows."""
+    """Requests changes of the store's tables from a node that follows them."""
 
     after_versions: dict[str, VersionPair] = attrs.field(validator=_versions)
-    """By table: changes after this version; -1 twice asks for the whole table."""
-    wait_s: float = _seconds()
-    """How long the answer may wait for a change."""
-    as_first: bool = _exactly(bool)
-    """Whether the node is asked as the one that reads for the whole system."""
+    """By table: the version after which changes are requested.
+
+    -1 for both numbers requests the complete table.
+    """
+    wait_s: float = _seconds_field()
+    """Maximum time that the answer may wait for a change, in seconds."""
+    as_first: bool = _typed_field(bool)
+    """Whether the node is queried as the one that reads the store for all nodes."""
 
 
 @message(61)
 @attrs.frozen
 class TableChanges:
-    """Rows of a table that changed, or all of them."""
+    """Changed rows of a table, or the complete table."""
 
-    table: str = _exactly(str)
+    table: str = _typed_field(str)
     version: VersionPair = attrs.field(validator=_version)
-    """Up to this version nothing else changed."""
-    age_s: float = _seconds()
-    """How long ago, at the sending of this, the store was asked that confirmed it."""
-    steady_s: float = _seconds()
-    """For how long before that the store had confirmed it without an outage."""
-    is_whole: bool = _exactly(bool)
-    """Whether these are all rows and not only those that changed."""
-    rows: bytes = _exactly(bytes)
-    """See ``pack_rows``."""
+    """The rows include every change up to this version."""
+    age_s: float = _seconds_field()
+    """Age of the store query that confirmed this version, when the message is sent."""
+    steady_s: float = _seconds_field()
+    """How long before that query the store had answered without an outage."""
+    is_whole: bool = _typed_field(bool)
+    """Whether the rows are the complete table and not only the changes."""
+    rows: bytes = _typed_field(bytes)
+    """Rows serialized by ``pack_rows``."""
 
 
 def _to_changes(values: object) -> object:
-    """Return the changes of each table, whose fields come as lists."""
+    """Convert each table's changes, which msgpack decodes as lists of fields."""
     if not isinstance(values, list):
         return values
     return [v if isinstance(v, TableChanges) else TableChanges(*v) for v in values]
@@ -180,7 +189,7 @@
 @message(63)
 @attrs.frozen
 class TablesChanged:
-    """What has changed in each of the tables that were asked for."""
+    """Changes of the requested tables; the answer to ``WatchTables``."""
 
     tables: list[TableChanges] = attrs.field(
         converter=_to_changes,
@@ -202,21 +211,27 @@
 @message(64)
 @attrs.frozen
 class CrashesSeen:
-    """Tells a node of backend servers that have ended while they ran a content."""
+    """Notifies a node of backend servers that crashed while running a content.
+
+    A content is what a request asks a backend server to run, without its identity: the
+    same content may arrive in several requests.
+    """
 
     crashes: list[tuple[str, str, int]] = attrs.field(validator=_crashes)
-    """Digest of the content, backend server, and the stage of the run."""
+    """Digest of the content, backend server id, and stage of the run."""
 
 
 @message(65)
 @attrs.frozen
 class CrashesNoted:
-    """The answer to ``CrashesSeen``."""
+    """Acknowledges ``CrashesSeen``."""
 
 
-MOST_DEMAND = 1e6
-"""Requests a second, or full groups, that one node's callers may be said to ask for;
-three orders of magnitude above what any node carries."""
+MAX_DEMAND = 1e6
+"""Maximum accepted demand of one node's callers, in requests per second or full groups.
+
+Three orders of magnitude above the load of any node.
+"""
 
 
 def _demand(_: object, attribute: attrs.Attribute, value: object) -> None:
@@ -225,30 +240,30 @@
     for entry in value:
         if [type(field) for field in entry] != [str, str, float, float]:
             raise FieldError(f"{attribute.name}: unexpected entry")
-        if not all(0.0 <= number <= MOST_DEMAND for number in entry[2:]):
-            raise FieldError(f"{attribute.name}: expected 0 to {MOST_DEMAND:g}")
+        if not all(0.0 <= number <= MAX_DEMAND for number in entry[2:]):
+            raise FieldError(f"{attribute.name}: expected 0 to {MAX_DEMAND:g}")
 
 
 @message(66)
 @attrs.frozen
 class QueryDemand:
-    """Asks a node what its callers have asked of each model lately."""
+    """Requests the recent demand for each model from a node's callers."""
 
 
 @message(67)
 @attrs.frozen
 class DemandReply:
-    """What a node's callers have asked of each model lately."""
+    """Recent demand for each model from a node's callers."""
 
     models: list[tuple[str, str, float, float]] = attrs.field(validator=_demand)
-    """Service, model, requests per second, and the groups that these keep busy."""
+    """Service, model, requests per second, and the full groups that these occupy."""
 
 
 MOST_LIMIT_PER_S = 1e6
-"""Requests a second that a backend server may be said to take; more than any takes."""
+"""Maximum accepted rate limit of a backend server; above the rate of any."""
 
 MOST_AGE_S = 1e6
-"""Longest time that a message may speak of, in seconds."""
+"""Maximum accepted age or delay in a message."""
 
 
 def _is_limit(limit_per_s: object) -> bool:
@@ -281,58 +296,61 @@
             raise FieldError(f"{attribute.name}: unexpected age")
 
 
-def _texts(_: object, attribute: attrs.Attribute, value: object) -> None:
+def _string_list(_: object, attribute: attrs.Attribute, value: object) -> None:
     if type(value) is not list or not all(type(text) is str for text in value):
-        raise FieldError(f"{attribute.name}: expected a list of texts")
+        raise FieldError(f"{attribute.name}: expected a list of strings")
 
 
 @message(68)
 @attrs.frozen
 class AskPermit:
-    """Asks a node for a permit to send a request to a limited backend server."""
+    """Requests a permit to send a request to a rate-limited backend server."""
 
-    backend_id: str = _exactly(str)
+    backend_id: str = _typed_field(str)
     limit_per_s: float = attrs.field(validator=_limit)
-    """The limit as the asking node knows it."""
+    """Requests per second of the limit that the requesting node knows."""
     age_s: float = attrs.field(validator=_age)
-    """How long ago the backend server has said so."""
+    """Age of the backend server's report of this limit, in seconds."""
 
 
 @message(69)
 @attrs.frozen
 class PermitReply:
-    """The answer to ``AskPermit``."""
+    """Grants or denies the permit requested by ``AskPermit``."""
 
-    is_granted: bool = _exactly(bool)
+    is_granted: bool = _typed_field(bool)
     again_s: float = attrs.field(validator=_age)
-    """When to ask again, if not."""
+    """Time after which to request again when not granted, in seconds."""
 
 
 @message(70)
 @attrs.frozen
 class PressureSeen:
-    """Tells a node what backend servers have asked for in their answers."""
+    """Notifies a node of the backpressure signals in backend servers' answers."""
 
     limits: list[tuple[str, float | None, float]] = attrs.field(validator=_limits)
-    """Backend server, requests a second from all nodes together, None where it names no
-    limit any more, and the age of its word in seconds."""
-    leaving: list[str] = attrs.field(validator=_texts)
-    """Backend servers that leave."""
+    """Backend server id, rate limit and age of the report in seconds.
+
+    The limit is in requests per second from all nodes together; None where the backend
+    server no longer reports a limit.
+    """
+    leaving: list[str] = attrs.field(validator=_string_list)
+    """Ids of backend servers that are about to leave."""
 
 
 @message(71)
 @attrs.frozen
 class PressureNoted:
-    """The answer to ``PressureSeen``."""
+    """Acknowledges ``PressureSeen``."""
 
 
 @message(72)
 @attrs.frozen
 class QueryPressure:
-    """Asks a node for what backend servers ask for; answered by ``PressureSeen``."""
+    """Requests the backpressure signals known to a node, as a ``PressureSeen``."""
 
 
-ONE_ANSWER = frozenset(
+SINGLE_ANSWER_REQUESTS = frozenset(
     {
         QueryStatus,
         QueryDemand,
@@ -343,5 +361,7 @@
         AskPermit,
     }
 )
-"""Requests whose first answer is their last: neither side says that it is done, which
-halves the frames between nodes."""
+"""Requests with a single answer.
+
+Neither side sends ``Close`` for them, which halves the frames between nodes.
+"""
--- a/packages/protocol/src/fordhatch/protocol/_packed_rows.py
+++ b/packages/protocol/src/fordhatch/protocol/_packed_rows.py
@@ -1,8 +1,9 @@
-"""Rows of a table as they travel: packed once, and passed on as the bytes they are.
+"""Serialization of table rows that nodes send to each other.
 
-A node that reads for forty others sends all of them the same rows. Packing and
-compressing these for each was what made such a node use four times the processor time
-of the others.
+A node that reads the store on behalf of forty other nodes sends the same rows to each
+of them. Packing and compressing the rows separately for each receiver made such a node
+use four times the processor time of the other nodes, so rows are packed once and the
+resulting bytes are forwarded unchanged.
 """
 
 from __future__ import annotations
@@ -14,47 +15,50 @@
 
 from ._frame_error import MAX_FRAME_BYTES, UNPACK_ERRORS, FrameError
 
-COMPRESSED = b"\xc1"
-"""First byte of compressed rows; no msgpack value begins with it."""
+COMPRESSED_MARKER = b"\xc1"
+"""First byte of compressed rows; no msgpack value starts with this byte."""
 
-COMPRESS_FROM_BYTES = 2048
-"""Shorter rows are sent as they are: a table of backend servers shrinks to a tenth,
-which counts on links of 10 Mbit/s, a single change hardly does."""
+COMPRESSION_THRESHOLD_BYTES = 2048
+"""Packed rows shorter than this are sent uncompressed.
 
-COMPRESS_LEVEL = 1
-"""The quickest; higher levels save a few bytes in a hundred."""
+Compression reduces a table of backend servers to a tenth, which matters on links of
+10 Mbit/s; a single change hardly shrinks.
+"""
+
+COMPRESSION_LEVEL = 1
+"""Fastest zlib level; higher levels save only a few percent more."""
 
 NO_ROWS = b""
-"""Stands for no rows at all."""
+"""Serialized form of an empty list of rows."""
 
 PackedRow = tuple[str, int, int, bytes, bool]
-"""Key, the store's generation and number, value, and whether the row was removed."""
+"""Row key, version (the store's generation and its counter), value, is removed."""
 
 _ROW_TYPES = (str, int, int, bytes, bool)
 
 
 def pack_rows(rows: Iterable[PackedRow]) -> bytes:
-    """Return rows as bytes."""
+    """Serialize rows, compressed above ``COMPRESSION_THRESHOLD_BYTES``."""
     listed = list(rows)
     if not listed:
         return NO_ROWS
     packed = msgpack.packb(listed)
-    if len(packed) < COMPRESS_FROM_BYTES:
+    if len(packed) < COMPRESSION_THRESHOLD_BYTES:
         return packed
-    return COMPRESSED + zlib.compress(packed, COMPRESS_LEVEL)
+    return COMPRESSED_MARKER + zlib.compress(packed, COMPRESSION_LEVEL)
 
 
 def unpack_rows(data: bytes) -> list[PackedRow]:
-    """Return the rows in bytes that another node has sent.
+    """Deserialize rows received from another node.
 
     Raises:
-        FrameError: If they are not well-formed.
+        FrameError: If the bytes are malformed.
     """
     if not data:
         return []
     try:
-        if data[:1] == COMPRESSED:
-            data = _decompressed(data[1:])
+        if data[:1] == COMPRESSED_MARKER:
+            data = _decompress(data[1:])
         rows = msgpack.unpackb(data)
     except (*UNPACK_ERRORS, TypeError, ValueError) as error:
         raise FrameError(repr(error)) from error
@@ -66,8 +70,8 @@
     return [tuple(row) for row in rows]
 
 
-def _decompressed(data: bytes) -> bytes:
-    """Return compressed rows, within the limit of a frame."""
+def _decompress(data: bytes) -> bytes:
+    """Decompress rows, up to ``MAX_FRAME_BYTES``."""
     unpacker = zlib.decompressobj()
     body = unpacker.decompress(data, MAX_FRAME_BYTES)
     if unpacker.unconsumed_tail or not unpacker.eof:
--- a/packages/protocol/src/fordhatch/protocol/_pool.py
+++ b/packages/protocol/src/fordhatch/protocol/_pool.py
@@ -1,4 +1,4 @@
-"""Connections to other nodes, opened when first needed and closed when idle."""
+"""Pool of connections to other nodes, opened on demand and closed when idle."""
 
 from __future__ import annotations
 
@@ -14,12 +14,19 @@
 from ._link import CONNECT_TIMEOUT_S, HANDSHAKE_TIMEOUT_S, Channel, Handler, Link
 
 IDLE_CLOSE_S = 60.0
-"""A connection unused for this long is closed."""
+"""A connection on which no request was sent for this long is closed."""
 
 
 @attrs.define(eq=False, repr=False)
 class PeerPool:
-    """Listens for other nodes and keeps one connection to each that is in use."""
+    """Accepts connections from other nodes and keeps one outgoing connection to each.
+
+    Attributes:
+        node_name: Name of this node, sent in the handshake.
+        shared_key: Key that authenticates the nodes of the system to each other.
+        timer: Source of monotonic time.
+        handler: Serves requests on accepted connections.
+    """
 
     node_name: str
     shared_key: bytes
@@ -36,10 +43,10 @@
 
         Args:
             host: Address to listen on.
-            port: Port; 0 takes any free one.
+            port: Port; 0 selects any free port.
 
         Returns:
-            The port in use.
+            The port that the node listens on.
         """
         self._server = await asyncio.start_server(self._accept, host, port)
         self._tasks.spawn(
@@ -81,9 +88,10 @@
             message: The request.
 
         Returns:
-            The channel on which answers arrive. A failure here has ``ran`` no:
-            the message was never sent. ``PEER_REFUSED`` says that a node is there
-            which does not know the shared key, as one that has just started.
+            The channel on which answers arrive. A failure has ``ran`` no: the
+            request was not sent. ``PEER_REFUSED`` means that the node answered but
+            failed the handshake, for example because it has just started and does
+            not have the shared key yet.
         """
         connected = await self._connected(address)
         if connected.is_err():
@@ -99,7 +107,13 @@
     async def request(
         self, address: str, message: object, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Send a request that has exactly one answer and return it."""
+        """Send a request that has exactly one answer and return the answer.
+
+        Args:
+            address: ``host:port`` of the node.
+            message: The request.
+            timeout_s: Maximum wait for the answer, in seconds.
+        """
         opened = await self.open(address, message)
         if opened.is_err():
             return opened
@@ -116,10 +130,10 @@
                 await self._drop_if_silent(channel.link, sent_s)
 
     async def _drop_if_silent(self, link: Link, since_s: float) -> None:
-        """Close a link on which nothing has come since a request was sent.
+        """Close a link that received nothing since a request was sent.
 
-        A connection may go silent for good without a reset, while new ones to the
-        same node work.
+        A connection may stop delivering data without a reset, while new connections
+        to the same node work.
         """
         if link.alive and link.last_received_s < since_s:
             log_event("peer_link_silent", peer=link.peer_name)
@@ -144,7 +158,7 @@
             )
         except (OSError, TimeoutError):
             return Err(Failure.from_code(ResultCode.PEER_UNREACHABLE, address))
-        # Requests flow one way on a connection: only the accepting side serves.
+        # Requests flow in one direction: only the accepting side has a handler.
         link = Link(
             reader,
             writer,
--- a/packages/protocol/src/fordhatch/protocol/messages.py
+++ b/packages/protocol/src/fordhatch/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Every message between nodes, by name."""
+"""The message classes between nodes and their registries."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
     MESSAGE_BY_TAG,
     MOST_AGE_S,
     MOST_LIMIT_PER_S,
-    ONE_ANSWER,
     PROTOCOL_VERSION,
+    SINGLE_ANSWER_REQUESTS,
     TAG_BY_MESSAGE,
     AskPermit,
     Close,
@@ -33,8 +33,8 @@
     "MESSAGE_BY_TAG",
     "MOST_AGE_S",
     "MOST_LIMIT_PER_S",
-    "ONE_ANSWER",
     "PROTOCOL_VERSION",
+    "SINGLE_ANSWER_REQUESTS",
     "TAG_BY_MESSAGE",
     "AskPermit",
     "Close",
--- a/packages/protocol/tests/test_protocol.py
+++ b/packages/protocol/tests/test_protocol.py
@@ -41,12 +41,12 @@
     return StatusReply(name, "start", version, True, False, [1, 7], 0.2)
 
 
-def test_nested_messages_come_back_equal() -> None:
+def test_nested_messages_round_trip() -> None:
     answer = TablesChanged([changes(), changes("op", 9)])
     assert decode(encode(7, answer)) == (7, answer)
 
 
-def test_long_tables_are_compressed_and_come_back_equal() -> None:
+def test_long_tables_are_compressed_and_round_trip() -> None:
     rows = [(f"i-{n}", 1, n, b'{"service": "llm"}' * 9, False) for n in range(200)]
     body = pack_rows(rows)
     assert len(body) < 8000
@@ -57,7 +57,7 @@
 
 
 def test_compressed_rows_can_not_grow_beyond_the_limit() -> None:
-    # Well-formed but for their length, so that nothing else refuses them.
+    # Only the length is invalid, so that no other check rejects the rows.
     rows = [["x" * (17 * 1024 * 1024), 1, b"", False]]
     bomb = b"\xc1" + zlib.compress(msgpack.packb(rows))
     with pytest.raises(FrameError):
@@ -76,31 +76,31 @@
         "rows",
     ],
 )
-def test_wrong_rows_are_refused(rows) -> None:
+def test_malformed_rows_are_rejected(rows) -> None:
     with pytest.raises(FrameError):
         unpack_rows(msgpack.packb(rows))
 
 
 @settings(derandomize=True)
 @given(st.binary(max_size=200))
-def test_noise_for_rows_is_refused_and_nothing_else(noise) -> None:
+def test_unpacking_random_bytes_raises_only_frame_errors(noise) -> None:
     with contextlib.suppress(FrameError):
         unpack_rows(noise)
 
 
-def test_no_rows_are_no_bytes() -> None:
+def test_empty_rows_are_packed_as_empty_bytes() -> None:
     assert pack_rows([]) == b""
     assert unpack_rows(b"") == []
 
 
 @settings(derandomize=True)
 @given(st.binary(max_size=200))
-def test_noise_is_refused_and_nothing_else(noise) -> None:
+def test_decoding_random_bytes_raises_only_frame_errors(noise) -> None:
     with contextlib.suppress(FrameError):
         decode(noise)
 
 
-WRONG = [
+MALFORMED_MESSAGES = [
     (62, ["x", 1.0, True]),
     (62, [{"op": "1"}, 1.0, True]),
     (62, [{"op": 1}, "soon", True]),
@@ -121,15 +121,15 @@
 ]
 
 
-@pytest.mark.parametrize(("tag", "fields"), WRONG)
-def test_wrong_fields_are_refused(tag, fields) -> None:
+@pytest.mark.parametrize(("tag", "fields"), MALFORMED_MESSAGES)
+def test_malformed_messages_are_rejected(tag, fields) -> None:
     with pytest.raises(FrameError):
         decode(msgpack.packb([0, tag, fields]))
 
 
-def test_whole_numbers_are_durations_as_well() -> None:
-    asked = decode(msgpack.packb([0, 62, [{"op": [0, 1]}, 2, False]]))[1]
-    assert asked == WatchTables({"op": [0, 1]}, 2.0, False)
+def test_integers_are_accepted_as_durations() -> None:
+    request = decode(msgpack.packb([0, 62, [{"op": [0, 1]}, 2, False]]))[1]
+    assert request == WatchTables({"op": [0, 1]}, 2.0, False)
 
 
 async def pools(server_key: bytes = KEY, handler=None):
@@ -148,14 +148,14 @@
 
     server, client, address = await pools(handler=echo)
 
-    async def ask(number: int) -> list[tuple[str, int]]:
+    async def request(number: int) -> list[tuple[str, int]]:
         message = WatchTables({"op": [0, number]}, 1.0, False)
         channel = (await client.open(address, message)).unwrap()
         replies = [(await channel.receive(5.0)).unwrap() for _ in range(number)]
         await channel.close()
         return [(r.node_name, r.configuration_version) for r in replies]
 
-    answers = await asyncio.gather(*(ask(n) for n in range(1, 8)))
+    answers = await asyncio.gather(*(request(n) for n in range(1, 8)))
     expected = [[(str(n), i) for i in range(n)] for n in range(1, 8)]
     assert answers == expected
     assert client.links() == 1
@@ -163,7 +163,7 @@
     await server.close()
 
 
-async def test_stranger_without_the_key_is_refused() -> None:
+async def test_peer_without_the_shared_key_is_refused() -> None:
     async def answer(message, channel) -> None:
         await channel.send(status())
 
@@ -174,9 +174,9 @@
     await server.close()
 
 
-@pytest.mark.parametrize("place", [0, -1])
+@pytest.mark.parametrize("position", [0, -1])
 async def test_a_frame_with_a_flipped_bit_ends_the_connection(
-    monkeypatch, place
+    monkeypatch, position
 ) -> None:
     seen = []
 
@@ -188,12 +188,12 @@
     assert (await client.request(address, QueryStatus(), 5.0)).is_ok()
     write = Link._write_raw
 
-    def flipped(link: Link, body: bytes) -> None:
+    def write_flipped(link: Link, body: bytes) -> None:
         changed = bytearray(body)
-        changed[place] ^= 1 if link.is_client else 0
+        changed[position] ^= 1 if link.is_client else 0
         write(link, bytes(changed))
 
-    monkeypatch.setattr(Link, "_write_raw", flipped)
+    monkeypatch.setattr(Link, "_write_raw", write_flipped)
     failed = await client.request(address, QueryStatus(), 5.0)
     assert failed.unwrap_err().ran is Ran.MAYBE
     assert len(seen) == 1
@@ -201,7 +201,7 @@
     await server.close()
 
 
-async def test_closing_a_channel_cancels_the_work() -> None:
+async def test_closing_a_channel_cancels_its_handler() -> None:
     cancelled = asyncio.Event()
 
     async def work(message, channel) -> None:
@@ -220,7 +220,7 @@
     await server.close()
 
 
-async def test_broken_link_ends_every_request_as_maybe() -> None:
+async def test_requests_on_a_broken_link_may_have_run() -> None:
     async def silent(message, channel) -> None:
         await asyncio.sleep(60.0)
 
@@ -233,24 +233,24 @@
     await client.close()
 
 
-async def test_a_link_that_fell_silent_is_replaced_by_a_new_one() -> None:
+async def test_a_link_that_receives_nothing_is_replaced() -> None:
     async def answer(message, channel) -> None:
         await channel.send(status())
 
     server, client, address = await pools(handler=answer)
     proxy = LoopbackProxy(int(address.rpartition(":")[2]))
-    way = f"127.0.0.1:{await proxy.start()}"
-    assert (await client.request(way, QueryStatus(), 5.0)).is_ok()
+    proxy_address = f"127.0.0.1:{await proxy.start()}"
+    assert (await client.request(proxy_address, QueryStatus(), 5.0)).is_ok()
     proxy.silence_open()
-    lost = await client.request(way, QueryStatus(), 0.2)
+    lost = await client.request(proxy_address, QueryStatus(), 0.2)
     assert lost.unwrap_err().code is ResultCode.DEADLINE_EXCEEDED
-    assert (await client.request(way, QueryStatus(), 5.0)).is_ok()
+    assert (await client.request(proxy_address, QueryStatus(), 5.0)).is_ok()
     await client.close()
     await server.close()
     await proxy.close()
 
 
-async def test_a_late_answer_does_not_end_a_link_on_which_others_came() -> None:
+async def test_a_late_answer_does_not_close_a_link_that_received_others() -> None:
     async def answer(message, channel) -> None:
         await channel.send(status())
 
@@ -267,28 +267,33 @@
     await server.close()
 
 
-async def test_stranger_cannot_make_a_node_reserve_memory(monkeypatch) -> None:
+async def test_unauthenticated_peer_cannot_make_a_node_reserve_memory(
+    monkeypatch,
+) -> None:
     monkeypatch.setattr("fordhatch.protocol._pool.HANDSHAKE_TIMEOUT_S", 60.0)
     server, client, address = await pools()
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write((15 * 1024 * 1024).to_bytes(4, "big") + b"x" * 64)
-    # The server's hello comes first; then it hangs up.
-    ended = await asyncio.wait_for(reader.read(-1), 5.0)
-    assert len(ended) < 200
+    # The server sends its Hello and then closes the connection.
+    received = await asyncio.wait_for(reader.read(-1), 5.0)
+    assert len(received) < 200
     writer.close()
     await client.close()
     await server.close()
 
 
-async def test_a_node_that_has_just_started_refuses_and_does_not_seem_gone() -> None:
-    """It has not read the shared key yet; nobody listens where a node is gone."""
-    started = PeerPool("b", b"", Timer())
-    port = await started.listen("127.0.0.1", 0)
+async def test_a_node_that_has_just_started_refuses_instead_of_unreachable() -> None:
+    """A starting node has no shared key yet, and must not be taken for stopped.
+
+    Its listener fails the handshake; a stopped node has no listener.
+    """
+    starting = PeerPool("b", b"", Timer())
+    port = await starting.listen("127.0.0.1", 0)
     pool = PeerPool("a", KEY, Timer())
     got = await pool.request(f"127.0.0.1:{port}", QueryStatus(), 5.0)
     assert got.unwrap_err().code is ResultCode.PEER_REFUSED
-    await started.close()
+    await starting.close()
     got = await pool.request(f"127.0.0.1:{port}", QueryStatus(), 5.0)
     assert got.unwrap_err().code is ResultCode.PEER_UNREACHABLE
     await pool.close()
@@ -307,12 +312,12 @@
         ["llm", "m", "1", 0.5],
     ],
 )
-def test_demand_that_no_node_can_have_is_refused(entry: list[object]) -> None:
+def test_invalid_demand_is_rejected(entry: list[object]) -> None:
     with pytest.raises(FrameError):
         decode(msgpack.packb([0, 67, [[entry]]]))
 
 
-def test_what_callers_ask_of_models_passes_between_nodes() -> None:
+def test_demand_replies_round_trip() -> None:
     reply = DemandReply([("llm", "m", 24.0, 1.6)])
     channel, found = decode(encode(3, reply))
     assert channel == 3
