--- a/packages/core/src/fordhatch/core/_codes.py
+++ b/packages/core/src/fordhatch/core/_codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes, the one vocabulary for every refusal and failure."""
+"""Numbered result codes for every refusal and failure."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class Ran(StrEnum):
-    """Whether a request that got no complete answer may have been executed."""
+    """Whether a request without a complete answer may have been executed."""
 
     NO = "no"
-    """Proven: never sent, or the backend server refused it before running it."""
+    """Not executed: never sent, or refused by the backend server before running it."""
     MAYBE = "maybe"
-    """Anything else."""
+    """Possibly executed: every other case."""
 
 
 class ResultCode(IntEnum):
-    """Every numbered outcome; the hundreds group them by the part that decides.
+    """Every numbered outcome, grouped in hundreds by the component that decides.
 
-    The meaning, HTTP status and ``ran`` of each stand in ``CODE_TABLE``.
+    ``CODE_TABLE`` holds the meaning, HTTP status and ``ran`` of each code.
     """
 
     OK = 0
@@ -67,118 +67,118 @@
 
 @attrs.frozen
 class CodeInfo:
-    """What one result code means to a caller or an operator."""
+    """HTTP status, default ``ran`` and meaning of one result code."""
 
     http_status: int
     ran: Ran
     meaning: str
 
 
-def _row(http_status: int, ran: Ran, meaning: str) -> CodeInfo:
+def _info(http_status: int, ran: Ran, meaning: str) -> CodeInfo:
     return CodeInfo(http_status, ran, meaning)
 
 
 CODE_TABLE: dict[ResultCode, CodeInfo] = {
-    ResultCode.OK: _row(200, Ran.MAYBE, "Complete."),
-    ResultCode.BAD_REQUEST: _row(400, Ran.NO, "The request is malformed."),
-    ResultCode.UNKNOWN_MODEL: _row(404, Ran.NO, "No application has this model."),
-    ResultCode.UNAUTHENTICATED: _row(401, Ran.NO, "The key or token is not valid."),
-    ResultCode.FORBIDDEN: _row(403, Ran.NO, "The workspace may not use this."),
-    ResultCode.BODY_TOO_LARGE: _row(413, Ran.NO, "The body exceeds the limit."),
-    ResultCode.NOT_FOUND: _row(404, Ran.NO, "Nothing is at this path."),
-    ResultCode.KEY_REUSED: _row(
+    ResultCode.OK: _info(200, Ran.MAYBE, "Complete."),
+    ResultCode.BAD_REQUEST: _info(400, Ran.NO, "The request is malformed."),
+    ResultCode.UNKNOWN_MODEL: _info(404, Ran.NO, "No application has this model."),
+    ResultCode.UNAUTHENTICATED: _info(401, Ran.NO, "The key or token is not valid."),
+    ResultCode.FORBIDDEN: _info(403, Ran.NO, "The workspace may not use this."),
+    ResultCode.BODY_TOO_LARGE: _info(413, Ran.NO, "The body exceeds the limit."),
+    ResultCode.NOT_FOUND: _info(404, Ran.NO, "Nothing is at this path."),
+    ResultCode.KEY_REUSED: _info(
         422, Ran.NO, "The idempotency key was used for a different request."
     ),
-    ResultCode.IN_PROGRESS: _row(
+    ResultCode.IN_PROGRESS: _info(
         409, Ran.MAYBE, "A request with this idempotency key is still running."
     ),
-    ResultCode.OUTCOME_UNKNOWN: _row(
+    ResultCode.OUTCOME_UNKNOWN: _info(
         409,
         Ran.MAYBE,
         "An earlier request with this idempotency key may have run; its answer "
         "was lost. It will not be run again.",
     ),
-    ResultCode.OVERLOADED: _row(503, Ran.NO, "Every queue for the model is full."),
-    ResultCode.NO_GROUP_READY: _row(
+    ResultCode.OVERLOADED: _info(503, Ran.NO, "Every queue for the model is full."),
+    ResultCode.NO_GROUP_READY: _info(
         503, Ran.NO, "No replica of the model is complete at present."
     ),
-    ResultCode.DEADLINE_EXCEEDED: _row(
+    ResultCode.DEADLINE_EXCEEDED: _info(
         504, Ran.MAYBE, "The answer was not complete by its deadline."
     ),
-    ResultCode.BACKEND_LOST: _row(
+    ResultCode.BACKEND_LOST: _info(
         502, Ran.MAYBE, "The backend server was lost after the request was sent."
     ),
-    ResultCode.STREAM_INCOMPLETE: _row(
+    ResultCode.STREAM_INCOMPLETE: _info(
         502, Ran.MAYBE, "The stream broke and could not be continued."
     ),
-    ResultCode.WORKSPACE_LIMIT: _row(
+    ResultCode.WORKSPACE_LIMIT: _info(
         429, Ran.NO, "The workspace has reached its limit of concurrent requests."
     ),
-    ResultCode.SHUTTING_DOWN: _row(503, Ran.NO, "The node is shutting down."),
-    ResultCode.BACKEND_REFUSED: _row(
+    ResultCode.SHUTTING_DOWN: _info(503, Ran.NO, "The node is shutting down."),
+    ResultCode.BACKEND_REFUSED: _info(
         503, Ran.NO, "The backend server refused the request before running it."
     ),
-    ResultCode.WRONG_ANSWER: _row(
+    ResultCode.WRONG_ANSWER: _info(
         502, Ran.MAYBE, "The answer named another request, group or epoch."
     ),
-    ResultCode.BACKEND_ERROR: _row(
+    ResultCode.BACKEND_ERROR: _info(
         502, Ran.MAYBE, "The backend server failed while running the request."
     ),
-    ResultCode.NO_CONFIG: _row(
+    ResultCode.NO_CONFIG: _info(
         503, Ran.NO, "The node has not confirmed a configuration yet."
     ),
-    ResultCode.CONFIGURATION_STALE: _row(
+    ResultCode.CONFIGURATION_STALE: _info(
         503, Ran.NO, "The node's configuration was not confirmed for too long."
     ),
-    ResultCode.REQUEST_QUARANTINED: _row(
+    ResultCode.REQUEST_QUARANTINED: _info(
         503,
         Ran.NO,
         "Several backend servers have ended while they ran this request, in this or "
         "in other tries; it is not run again for now.",
     ),
-    ResultCode.CLIENT_GONE: _row(499, Ran.MAYBE, "The caller closed its connection."),
-    ResultCode.STORE_UNAVAILABLE: _row(
+    ResultCode.CLIENT_GONE: _info(499, Ran.MAYBE, "The caller closed its connection."),
+    ResultCode.STORE_UNAVAILABLE: _info(
         503, Ran.NO, "The platform's store cannot be reached; nothing was decided."
     ),
-    ResultCode.STORE_OUTCOME_UNKNOWN: _row(
+    ResultCode.STORE_OUTCOME_UNKNOWN: _info(
         503, Ran.MAYBE, "The platform's store did not confirm a write."
     ),
-    ResultCode.STORE_CONFLICT: _row(
+    ResultCode.STORE_CONFLICT: _info(
         409, Ran.NO, "Another writer changed a row that the transaction relied on."
     ),
-    ResultCode.STORE_HISTORY_GONE: _row(
+    ResultCode.STORE_HISTORY_GONE: _info(
         503, Ran.NO, "The store no longer knows what changed; read it whole."
     ),
-    ResultCode.CONFIG_INVALID: _row(400, Ran.NO, "The operators' file has mistakes."),
-    ResultCode.CONFIG_CONFLICT: _row(
+    ResultCode.CONFIG_INVALID: _info(400, Ran.NO, "The operators' file has mistakes."),
+    ResultCode.CONFIG_CONFLICT: _info(
         409, Ran.NO, "Another operator's file was accepted on the same base revision."
     ),
-    ResultCode.REVISION_NOT_REACHED: _row(
+    ResultCode.REVISION_NOT_REACHED: _info(
         503, Ran.NO, "The node has not reached the revision that was asked for."
     ),
-    ResultCode.CONFIG_OUTCOME_UNKNOWN: _row(
+    ResultCode.CONFIG_OUTCOME_UNKNOWN: _info(
         503, Ran.MAYBE, "Whether the file was accepted is not known; apply it again."
     ),
-    ResultCode.SETTINGS_UNREADABLE: _row(400, Ran.NO, "The file is not valid JSON."),
-    ResultCode.SETTING_UNKNOWN: _row(400, Ran.NO, "The file has an unknown field."),
-    ResultCode.SETTING_INVALID: _row(400, Ran.NO, "A field has an invalid value."),
-    ResultCode.SETTING_MISSING: _row(400, Ran.NO, "A required field is missing."),
-    ResultCode.PEER_UNREACHABLE: _row(503, Ran.NO, "The other node is unreachable."),
-    ResultCode.PEER_REFUSED: _row(503, Ran.NO, "The other node refused the message."),
-    ResultCode.FRAME_INVALID: _row(
+    ResultCode.SETTINGS_UNREADABLE: _info(400, Ran.NO, "The file is not valid JSON."),
+    ResultCode.SETTING_UNKNOWN: _info(400, Ran.NO, "The file has an unknown field."),
+    ResultCode.SETTING_INVALID: _info(400, Ran.NO, "A field has an invalid value."),
+    ResultCode.SETTING_MISSING: _info(400, Ran.NO, "A required field is missing."),
+    ResultCode.PEER_UNREACHABLE: _info(503, Ran.NO, "The other node is unreachable."),
+    ResultCode.PEER_REFUSED: _info(503, Ran.NO, "The other node refused the message."),
+    ResultCode.FRAME_INVALID: _info(
         400, Ran.NO, "A frame between nodes was malformed or not authenticated."
     ),
-    ResultCode.INVARIANT_VIOLATED: _row(
+    ResultCode.INVARIANT_VIOLATED: _info(
         500, Ran.MAYBE, "An invariant failed; the part concerned stopped serving."
     ),
-    ResultCode.INTERNAL: _row(500, Ran.MAYBE, "An unexpected error."),
+    ResultCode.INTERNAL: _info(500, Ran.MAYBE, "An unexpected error."),
 }
 """HTTP status, default ``ran`` and meaning of every result code."""
 
 
 @attrs.frozen
 class Failure:
-    """A typed error: what happened, whether anything ran, when to come back."""
+    """A typed error: result code, detail, whether the request ran, when to retry."""
 
     code: ResultCode
     message: str
@@ -199,18 +199,15 @@
         Args:
             code: The numbered result code.
             message: Detail for the reader; the code's meaning when empty.
-            ran: Overrides the table where the proof is better or worse.
-            retry_after_s: When the caller may come back, in seconds.
-
-        Returns:
-            The failure.
+            ran: Overrides the ``ran`` of ``CODE_TABLE`` where more or less is known.
+            retry_after_s: Time after which the caller may retry, in seconds.
         """
         info = CODE_TABLE[code]
         return cls(code, message or info.meaning, ran or info.ran, retry_after_s)
 
     @property
     def http_status(self) -> int:
-        """The HTTP status that callers and operators see."""
+        """HTTP status of the response to the caller or operator."""
         return CODE_TABLE[self.code].http_status
 
     def to_json(self) -> dict[str, object]:
--- a/packages/core/src/fordhatch/core/_invariant.py
+++ b/packages/core/src/fordhatch/core/_invariant.py
@@ -1,4 +1,4 @@
-"""Invariants that stay on: a violated one stops the part concerned from serving."""
+"""Invariant checks that stay enabled in production."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 @attrs.define
 class InvariantGuard:
-    """Remembers whether an invariant of one part has failed."""
+    """Checks the invariants of one component and records violations."""
 
     part: str
     is_violated: bool = False
+    """Whether an invariant has failed: then the component must stop serving."""
     violations: list[str] = attrs.field(factory=list)
 
     def check(self, holds: bool, name: str, **facts: object) -> bool:
         """Record a violation unless ``holds``.
 
         Args:
-            holds: The invariant's value.
+            holds: Whether the invariant holds.
             name: Name of the invariant.
-            **facts: What to log with a violation.
+            **facts: Fields to log with a violation.
 
         Returns:
             ``holds``.
--- a/packages/core/src/fordhatch/core/_line_writer.py
+++ b/packages/core/src/fordhatch/core/_line_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever making a request wait."""
+"""Non-blocking writer for log lines."""
 
 from __future__ import annotations
 
@@ -10,25 +10,28 @@
 import attrs
 
 MAX_QUEUED_LINES = 4000
-"""Lines that wait for a slow reader; more are dropped and counted."""
+"""Maximum number of lines queued for a slow reader; further lines are dropped."""
 
 LINES_PER_S = 400.0
-"""Lines written in a second on average; a node decides about fifty requests a second
-at its usual load, with three lines each, and some more for what it believes."""
+"""Maximum mean rate of lines.
+
+At its usual load a node handles about fifty requests a second with three lines each,
+and logs some more lines about the state of other nodes and backend servers.
+"""
 
 BURST_LINES = 1600.0
-"""Lines that may be written at once after a quiet time."""
+"""Maximum number of lines in a burst (size of the token bucket)."""
 
 BATCH_INTERVAL_S = 0.05
-"""Time in which lines gather into one write."""
+"""Time for which lines are collected into one write."""
 
 
 @attrs.define(eq=False, repr=False)
 class LineWriter:
-    """Hands lines to a thread that writes them to a file descriptor.
+    """Passes lines to a thread that writes them to a file descriptor.
 
-    A full pipe costs lines, never requests. How many were dropped is said in a line
-    of its own as soon as lines can be written again.
+    When the pipe is full, lines are dropped, so that logging never delays a request.
+    A ``lines_dropped`` line reports their number as soon as writing works again.
     """
 
     descriptor: int
@@ -41,12 +44,12 @@
     _thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start the thread that writes."""
+        """Start the writer thread."""
         self._thread = threading.Thread(target=self._write_loop, daemon=True)
         self._thread.start()
 
     def write(self, line: str) -> None:
-        """Take a line without its end; never waits."""
+        """Queue a line, given without its line break; never blocks."""
         if len(self._lines) >= MAX_QUEUED_LINES or not self._take_token():
             self.dropped += 1
             return
@@ -71,7 +74,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what waits; may wait for the reader."""
+        """Write the queued lines; blocks while the pipe is full."""
         lines = []
         while self._lines:
             lines.append(self._lines.popleft())
@@ -83,6 +86,6 @@
             try:
                 data = data[os.write(self.descriptor, data) :]
             except OSError:
-                # Nobody reads any more: there is nowhere to say so.
+                # The reader has closed the pipe, so the error cannot be logged.
                 self.dropped += len(lines)
                 return
--- a/packages/core/src/fordhatch/core/_log.py
+++ b/packages/core/src/fordhatch/core/_log.py
@@ -1,4 +1,4 @@
-"""One key=value line on standard error for each event, through eliot."""
+"""Structured logging through eliot, written as one key=value line per event."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     """Log one event.
 
     Args:
-        event: Name of the event; every name stands in ``docs/LOGS.md``.
-        **fields: Facts of the event, never secrets or prompts.
+        event: Name of the event; every name is listed in ``docs/LOGS.md``.
+        **fields: Fields of the event; never secrets or prompts.
     """
     eliot.log_message(message_type=event, **fields)
 
 
 def configure_logging(node_id: str, stream: TextIO = sys.stderr) -> None:
-    """Send every event as one key=value line to ``stream``.
+    """Write every event as one key=value line to ``stream``.
 
     Args:
-        node_id: Written into every line.
-        stream: Where the lines go.
+        node_id: Node name written into every line.
+        stream: Destination of the lines.
     """
 
     def write(message: dict[str, object]) -> None:
@@ -40,7 +40,12 @@
 
 
 def configure_line_log(node_id: str, writer: LineWriter) -> None:
-    """Send every event as one key=value line to a writer that never waits."""
+    """Write every event as one key=value line through a non-blocking writer.
+
+    Args:
+        node_id: Node name written into every line.
+        writer: Destination of the lines.
+    """
 
     def write(message: dict[str, object]) -> None:
         writer.write(format_line(node_id, message))
@@ -49,7 +54,7 @@
 
 
 def format_line(node_id: str, message: dict[str, object]) -> str:
-    """Return the key=value line for an eliot message."""
+    """Format an eliot message as a key=value line."""
     timestamp_s = float(message.get("timestamp", 0.0))  # type: ignore[arg-type]
     stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(timestamp_s))
     parts = [
--- a/packages/core/src/fordhatch/core/_metrics.py
+++ b/packages/core/src/fordhatch/core/_metrics.py
@@ -1,4 +1,4 @@
-"""Every Prometheus metric of the daemon, defined in one place."""
+"""Definitions of all Prometheus metrics of the daemon."""
 
 from __future__ import annotations
 
@@ -178,10 +178,13 @@
 
 @cache
 def peer_messages(direction: str, kind: str) -> Counter:
-    """Return the counter of messages of a kind; finding it costs more than counting."""
+    """Return the counter of messages of a direction and kind.
+
+    Cached, because looking up the labelled counter costs more than incrementing it.
+    """
     return PEER_MESSAGES.labels(direction, kind)
 
 
 def render_metrics() -> bytes:
-    """Return the text exposition of every metric."""
+    """Return all metrics in the Prometheus text format."""
     return _generate_latest(REGISTRY)
--- a/packages/core/src/fordhatch/core/_suspension.py
+++ b/packages/core/src/fordhatch/core/_suspension.py
@@ -1,4 +1,4 @@
-"""The time for which the machine was suspended, which the steady clock leaves out."""
+"""Measures machine suspensions, which the monotonic clock does not count."""
 
 from __future__ import annotations
 
@@ -8,49 +8,55 @@
 import attrs
 
 MIN_SUSPENSION_S = 0.2
-"""A smaller difference of the clocks is none: it takes some microseconds to read one
-after the other, and a process that has to wait for the processor in between reads the
-second one later, by milliseconds."""
+"""Smaller changes of the difference between the clocks are ignored.
+
+The clocks are read some microseconds apart, and milliseconds apart when the process is
+preempted between the two readings.
+"""
 
 CLOCK_SAMPLES = 3
-"""Times that the clocks are read before a difference is believed: a process that stands
-still between both readings, but whose machine goes on, must not see one."""
+"""Number of readings that confirm a difference between the clocks.
+
+A process that is paused between two readings while the machine keeps running must not
+detect a suspension; the smallest difference of several readings excludes such a pause.
+"""
 
 
 def _boot_s() -> float:
-    """Return seconds since the machine was started, suspensions included."""
+    """Return seconds since the machine booted, including suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @attrs.define(eq=False, repr=False)
 class Suspension:
-    """Adds up how long the machine was suspended since this was made.
+    """Accumulates the time for which the machine was suspended.
 
-    A machine that is suspended for some seconds finds its knowledge, its lease and its
-    callers' deadlines as old as they were before, if it asks the steady clock alone. It
-    would use API keys that were removed meanwhile, and plan beside another planner.
+    The monotonic clock stops during a suspension. A node that used this clock alone
+    would not notice that its configuration, its lease and its callers' deadlines have
+    aged: it would accept API keys that were removed meanwhile, and would act as planner
+    next to another planner.
     """
 
     monotonic_clock: Callable[[], float] = time.monotonic
     boot_clock: Callable[[], float] = _boot_s
     total_s: float = 0.0
-    """Seconds for which the machine was suspended, as far as ``look`` has seen."""
+    """Seconds of suspension detected by ``poll`` since the object was created."""
     _offset_s: float = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Take the clocks' present difference for none."""
+        """Record the current difference between the clocks as the baseline."""
         self._offset_s = min(self._difference_s() for _ in range(CLOCK_SAMPLES))
 
     def _difference_s(self) -> float:
-        steady_s = self.monotonic_clock()
-        return self.boot_clock() - steady_s
+        monotonic_s = self.monotonic_clock()
+        return self.boot_clock() - monotonic_s
 
     def poll(self) -> float:
-        """Read the clocks.
+        """Read the clocks and update ``total_s``.
 
         Returns:
-            Seconds for which the machine was suspended since the last look; nearly
-            always 0.
+            Seconds for which the machine was suspended since the previous poll, usually
+            0.
         """
         if self._difference_s() - self._offset_s < MIN_SUSPENSION_S:
             return 0.0
--- a/packages/core/src/fordhatch/core/_timer.py
+++ b/packages/core/src/fordhatch/core/_timer.py
@@ -1,7 +1,7 @@
-"""The timer service: the only place where time is read, and where long waits are kept.
+"""The timer service, the only place that reads time and holds long waits.
 
-Its time goes on while the machine is suspended, as that of everybody else does. So do
-the deadlines of what waits here.
+Its time and the deadlines of its waits include the time for which the machine was
+suspended, so that they agree with those of other machines.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from ._suspension import Suspension
 
 CANCEL_RETRY_INTERVAL_S = 0.1
-"""A task that has not ended this long after its cancellation is cancelled again."""
+"""A task that is still running this long after its cancellation is cancelled again."""
 
 RESTART_DELAY_S = 0.2
-"""Pause before a part that failed is started again."""
+"""Mean delay before a failed component is restarted."""
 
 
 @attrs.define
 class Timer:
     """Monotonic time, wall time and periodic ticks for one process.
 
-    Every part subscribes here instead of sleeping on its own, so that tests can
-    run the whole program on a virtual event-loop clock.
+    Every component waits through the timer instead of sleeping on its own, so that
+    tests can run the complete program on a virtual event-loop clock.
     """
 
     rng: random.Random = attrs.field(factory=random.Random)
@@ -38,23 +38,23 @@
     wall_clock: Callable[[], float] = time.time
     """Wall-clock seconds since the epoch; only for records, never for decisions."""
     suspension: Suspension = attrs.field(factory=Suspension)
-    """What the event loop's clock leaves out."""
+    """Suspension time, which the event loop's clock does not include."""
     _deadlines: set[asyncio.Timeout] = attrs.field(factory=set)
 
     @classmethod
     def from_seed(cls, seed: int | str) -> Timer:
-        """Return a timer whose jitter is reproducible."""
+        """Return a timer with reproducible jitter."""
         return cls(rng=random.Random(seed))
 
     def now_s(self) -> float:
-        """Return monotonic seconds, which go on while the machine is suspended."""
+        """Return monotonic seconds, including the time spent suspended."""
         suspended_s = self.suspension.poll()
         if suspended_s:
             self._on_resume(suspended_s)
         return asyncio.get_running_loop().time() + self.suspension.total_s
 
     def _on_resume(self, suspended_s: float) -> None:
-        """Bring forward the deadlines of what has waited through a suspension."""
+        """Bring forward the deadlines of the pending waits after a suspension."""
         metrics.SUSPENDED_SECONDS.inc(suspended_s)
         log_event("machine_resumed", suspended_s=round(suspended_s, 3))
         for deadline in list(self._deadlines):
@@ -64,10 +64,10 @@
 
     @contextlib.asynccontextmanager
     async def timeout(self, duration_s: float) -> AsyncIterator[None]:
-        """Raise ``TimeoutError`` in the block after this time, suspensions included.
+        """Raise ``TimeoutError`` in the block after this time, including suspensions.
 
         Args:
-            duration_s: Longest time that the block may take, in seconds.
+            duration_s: Maximum duration of the block, in seconds.
         """
         async with asyncio.timeout(duration_s) as deadline:
             self._deadlines.add(deadline)
@@ -81,24 +81,24 @@
         return self.wall_clock()
 
     async def sleep(self, duration_s: float) -> None:
-        """Wait for ``duration_s`` seconds in which the machine runs.
+        """Wait for ``duration_s`` seconds, not counting suspensions.
 
-        No sleep decides by itself how old anything is: who wakes up asks ``now_s``.
+        After a sleep, compute ages from ``now_s`` and not from the duration.
         """
         await asyncio.sleep(duration_s)
 
     def jittered(self, duration_s: float, fraction: float = 0.2) -> float:
-        """Return ``duration_s`` spread evenly by plus or minus ``fraction``."""
+        """Return ``duration_s`` with uniform jitter of plus or minus ``fraction``."""
         return duration_s * (1.0 + fraction * (2.0 * self.rng.random() - 1.0))
 
     async def ticks(
         self, interval_s: float, *, fraction: float = 0.2
     ) -> AsyncIterator[float]:
-        """Yield the monotonic time at once and then about every ``interval_s``.
+        """Yield the monotonic time immediately and then about every ``interval_s``.
 
         Args:
             interval_s: Mean time between ticks, in seconds.
-            fraction: Jitter as a share of the interval.
+            fraction: Jitter as a fraction of the interval.
 
         Yields:
             Monotonic seconds at each tick.
@@ -110,12 +110,12 @@
     async def every(
         self, interval_s: float, step: Callable[[], Awaitable[object]], *, name: str
     ) -> None:
-        """Run ``step`` on every tick; a step that raises is logged, not fatal.
+        """Run ``step`` on every tick; an exception is logged and not fatal.
 
         Args:
             interval_s: Mean time between steps, in seconds.
             step: The coroutine function to run.
-            name: Names the part in the log.
+            name: Name of the component in the log.
         """
         async for _ in self.ticks(interval_s):
             try:
@@ -126,11 +126,11 @@
                 log_event("step_failed", part=name, error=repr(error))
 
     async def keep(self, run: Callable[[], Awaitable[object]], *, name: str) -> None:
-        """Run a part for good; one that raises is logged and started again.
+        """Run a component forever; one that raises is logged and restarted.
 
         Args:
-            run: The coroutine function of the part.
-            name: Names the part in the log.
+            run: The coroutine function of the component.
+            name: Name of the component in the log.
         """
         while True:
             try:
@@ -138,19 +138,19 @@
             except asyncio.CancelledError:
                 raise
             except Exception as error:
-                # A part that ends for good would take the node's duty with it.
+                # Without a restart the node would lose this function until its end.
                 log_event("part_restarted", part=name, error=repr(error))
             await self.sleep(self.jittered(RESTART_DELAY_S))
 
 
 @attrs.define
 class TaskSet:
-    """Background tasks of one part, ended together."""
+    """Background tasks of one component, cancelled together."""
 
     _tasks: set[asyncio.Task[object]] = attrs.field(factory=set)
 
     def spawn(self, coroutine: Awaitable[object], name: str) -> asyncio.Task[object]:
-        """Start a task and keep it until it ends."""
+        """Start a task and hold a reference to it until it ends."""
         task = asyncio.ensure_future(coroutine)
         task.set_name(name)  # type: ignore[attr-defined]
         self._tasks.add(task)
@@ -166,7 +166,11 @@
             log_event("task_failed", part=task.get_name(), error=repr(error))
 
     async def drain(self, timeout_s: float = 5.0) -> None:
-        """Wait until the tasks have ended by themselves, then cancel the rest."""
+        """Wait for the tasks to finish, then cancel those that remain.
+
+        Args:
+            timeout_s: Maximum wait before the cancellation, in seconds.
+        """
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=timeout_s)
         await self.close()
@@ -174,12 +178,14 @@
     async def close(self) -> None:
         """Cancel every task and wait until all have ended.
 
-        A task may miss a cancellation that comes at the moment at which what it
-        waits for is done (``asyncio.wait_for`` swallows it), so it is repeated.
+        ``asyncio.wait_for`` swallows a cancellation that arrives at the moment at which
+        the awaited operation completes, so the cancellation is repeated.
         """
         pending = self._tasks - {asyncio.current_task()}
         with contextlib.suppress(asyncio.CancelledError):
             while pending:
                 for task in pending:
                     task.cancel()
-                _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_INTERVAL_S)
+                _, pending = await asyncio.wait(
+                    pending, timeout=CANCEL_RETRY_INTERVAL_S
+                )
--- a/packages/core/tests/test_codes.py
+++ b/packages/core/tests/test_codes.py
@@ -13,12 +13,12 @@
     assert set(CODE_TABLE) == set(ResultCode)
 
 
-def test_docs_hold_the_table_of_the_code() -> None:
+def test_docs_contain_the_code_table() -> None:
     assert code_table_markdown() in (DOCS / "RESULT-CODES.md").read_text()
 
 
 @pytest.mark.parametrize("code", [c for c in ResultCode if c is not ResultCode.OK])
-def test_failure_body_names_code_and_ran(code: ResultCode) -> None:
+def test_failure_body_contains_code_and_ran(code: ResultCode) -> None:
     body = Failure.from_code(code).to_json()["error"]
     assert body["code"] == int(code)
     assert body["ran"] in {Ran.NO, Ran.MAYBE}
--- a/packages/core/tests/test_docs_tables.py
+++ b/packages/core/tests/test_docs_tables.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parents[3]
 EVENT = re.compile(r'(?:log_event|self\._log)\(\s*"(\w+)"(?:\s+if[^,]*else\s+"(\w+)")?')
-WRITTEN_DIRECTLY = {"lines_dropped"}  # the line writer can't log through itself
+WRITTEN_DIRECTLY = {"lines_dropped"}  # the line writer cannot log through itself
 SECRET_FIELDS = {"body", "prompt", "api_key", "token_text", "headers", "content"}
 
 
@@ -17,7 +17,7 @@
     return [p.read_text() for p in found]
 
 
-def test_every_log_event_stands_in_the_table() -> None:
+def test_every_log_event_is_documented() -> None:
     pairs = [pair for text in sources() for pair in EVENT.findall(text)]
     in_code = {name for pair in pairs for name in pair if name} | WRITTEN_DIRECTLY
     table = (ROOT / "docs" / "LOGS.md").read_text()
@@ -25,7 +25,7 @@
     assert in_docs == in_code
 
 
-def test_every_metric_stands_in_the_table() -> None:
+def test_every_metric_is_documented() -> None:
     in_code = {
         metric.name + ("_total" if metric.type == "counter" else "")
         for metric in metrics.REGISTRY.collect()
@@ -35,7 +35,7 @@
     assert in_docs == in_code
 
 
-def test_no_log_event_carries_a_secret_or_a_prompt() -> None:
+def test_no_log_event_contains_a_secret_or_a_prompt() -> None:
     calls = [
         node
         for text in sources()
@@ -47,11 +47,11 @@
     for call in calls:
         named = {keyword.arg for keyword in call.keywords}
         assert not named & SECRET_FIELDS, ast.unparse(call)
-        # Each line begins with these; a second one would hide who has logged it.
+        # Every line starts with these fields; a duplicate would make them ambiguous.
         assert not named & {"node", "time", "event"}, ast.unparse(call)
 
 
-def test_a_log_line_is_one_line_of_pairs() -> None:
+def test_a_log_line_is_a_single_line_of_key_value_pairs() -> None:
     message = {
         "timestamp": 0.5,
         "message_type": "group_seen",
--- a/packages/core/tests/test_line_writer.py
+++ b/packages/core/tests/test_line_writer.py
@@ -6,14 +6,14 @@
 from fordhatch.core._line_writer import MAX_QUEUED_LINES
 
 
-def test_a_reader_that_stops_costs_lines_and_never_waits() -> None:
-    # The pipe stays open: the writer's thread goes on as long as the process, and must
-    # not find the pipe of another test under the same number.
+def test_a_stopped_reader_drops_lines_and_never_blocks() -> None:
+    # The pipe stays open: the writer thread runs until the process ends, and must not
+    # write to another test's pipe that reuses the descriptor number.
     _, descriptor = os.pipe()
     writer = LineWriter(descriptor, lines_per_s=1e9)
     writer.start()
-    # Nobody reads: a write that waited would never return, and without a limit to what
-    # may wait no line would ever be dropped. The thread may still take lines meanwhile.
+    # Nothing reads the pipe: a blocking write would never return, and with an unlimited
+    # queue no line would be dropped. The thread may still remove lines meanwhile.
     for _ in range(100 * MAX_QUEUED_LINES):
         writer.write("event=x " + "y" * 100)
         if writer.dropped:
@@ -23,7 +23,7 @@
     assert len(writer._lines) <= MAX_QUEUED_LINES
 
 
-def test_lines_keep_within_their_budget_and_the_loss_is_said() -> None:
+def test_the_line_rate_is_limited_and_dropped_lines_are_reported() -> None:
     reader, descriptor = os.pipe()
     writer = LineWriter(descriptor, lines_per_s=0.0)
     for number in range(2_000):
--- a/packages/core/tests/test_parts.py
+++ b/packages/core/tests/test_parts.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[3]
-REPR_OF_FIELDS = re.compile(r"@attrs\.define\(eq=False(?!, repr=False)")
+RECURSIVE_REPR = re.compile(r"@attrs\.define\(eq=False(?!, repr=False)")
 
 
-def test_parts_do_not_print_what_they_hold() -> None:
-    """A part that prints its parts, which print theirs, takes minutes to print."""
+def test_components_have_no_recursive_repr() -> None:
+    """The repr of a component that includes its components' reprs takes minutes."""
     folders = ("packages", "platform", "standins", "bench")
     paths = [p for folder in folders for p in (ROOT / folder).rglob("*.py")]
-    found = [str(p) for p in paths if REPR_OF_FIELDS.search(p.read_text())]
+    found = [str(p) for p in paths if RECURSIVE_REPR.search(p.read_text())]
     assert found == []
--- a/packages/core/tests/test_suspension.py
+++ b/packages/core/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine is suspended: the steady clock stands still, and everybody else goes on."""
+"""Tests of machine suspensions, during which the monotonic clock stops."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 @attrs.define
 class Clocks:
-    """Stands for the clocks of a machine."""
+    """Simulated clocks of a machine."""
 
-    steady_s: float = 100.0
+    monotonic_s: float = 100.0
     boot_s: float = 500.0
     pause_s: float = 0.0
-    """The process stands still this long before the next reading of the second one."""
+    """How long the process is paused before the next reading of the boot clock."""
 
     def boot(self) -> float:
-        self.steady_s += self.pause_s
+        self.monotonic_s += self.pause_s
         self.boot_s += self.pause_s
         self.pause_s = 0.0
         return self.boot_s
 
     def suspension(self) -> Suspension:
-        return Suspension(lambda: self.steady_s, self.boot)
+        return Suspension(lambda: self.monotonic_s, self.boot)
 
 
 def test_only_suspended_time_is_added_up() -> None:
     clocks = Clocks()
     suspension = clocks.suspension()
-    clocks.steady_s += 10.0
+    clocks.monotonic_s += 10.0
     clocks.boot_s += 10.0
     assert suspension.poll() == 0.0
     clocks.boot_s += 4.0
@@ -45,7 +45,7 @@
     assert suspension.total_s == pytest.approx(4.5)
 
 
-def test_a_process_that_stands_still_between_the_readings_was_not_suspended() -> None:
+def test_a_process_pause_between_the_readings_is_not_a_suspension() -> None:
     clocks = Clocks()
     suspension = clocks.suspension()
     clocks.pause_s = 3.0
@@ -55,8 +55,8 @@
     assert suspension.poll() == 0.0
 
 
-def test_looking_costs_next_to_nothing() -> None:
-    """It is asked at each event of each stream, some thousand times a second."""
+def test_polling_is_cheap() -> None:
+    """The clocks are polled at each stream event, some thousand times a second."""
     suspension = Suspension()
     began_s = time.process_time()
     for _ in range(10_000):
@@ -73,7 +73,7 @@
     assert timer.now_s() - before_s == pytest.approx(6.0, abs=0.1)
 
 
-async def test_a_deadline_that_passed_in_a_suspension_ends_the_wait() -> None:
+async def test_a_deadline_that_passes_in_a_suspension_ends_the_wait() -> None:
     clocks = Clocks()
     timer = Timer(suspension=clocks.suspension())
     began_s = time.monotonic()
@@ -95,7 +95,7 @@
     assert time.monotonic() - began_s < 1.0
 
 
-async def test_a_wait_that_is_over_is_not_kept() -> None:
+async def test_deadlines_of_finished_waits_are_removed() -> None:
     timer = Timer()
     async with timer.timeout(60.0):
         pass
