--- a/packages/catalog/src/fordhatch/catalog/__init__.py
+++ b/packages/catalog/src/fordhatch/catalog/__init__.py
@@ -1,4 +1,7 @@
-"""What is declared and what is there: routes, services, workspaces, backend servers."""
+"""Data classes for configured and registered objects.
+
+These are routes, services, workspaces, models, backend servers and node settings.
+"""
 
 from __future__ import annotations
 
--- a/packages/catalog/src/fordhatch/catalog/_backends.py
+++ b/packages/catalog/src/fordhatch/catalog/_backends.py
@@ -1,4 +1,4 @@
-"""Backend servers as they register themselves, and their places in groups."""
+"""Registered backend servers and their membership in replica groups."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class BackendState(StrEnum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server accepts new work."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class MemberState(StrEnum):
-    """How far a backend server is with its place in a group."""
+    """State of a backend server's membership in a group."""
 
     JOINING = "joining"
     READY = "ready"
@@ -26,26 +26,30 @@
 
 @attrs.frozen
 class GroupMembership:
-    """A backend server's place in a replica group."""
+    """A backend server's membership in a replica group.
+
+    A replica of a model runs on the members of one group.
+    """
 
     group: str
     epoch: int
+    """Number under which the group was formed; every formation gets another one."""
     rank: int
-    """Place in the group's list of members; rank 0 is the head."""
+    """Index in the group's list of members; rank 0 is the head."""
     state: MemberState
 
     @property
     def key(self) -> tuple[str, int]:
-        """The group and epoch that this place belongs to."""
+        """Group and epoch of this membership."""
         return self.group, self.epoch
 
 
 def incarnation_id(registered_id: str, born_ms: int) -> str:
-    """Return what identifies one start of a backend server.
+    """Return the id of one start (incarnation) of a backend server.
 
     Args:
-        registered_id: The id under which it registers; later starts may have it again.
-        born_ms: Unix milliseconds of the start, 0 where the platform does not tell.
+        registered_id: Id under which it registers; later starts may reuse it.
+        born_ms: Unix milliseconds of the start; 0 if the platform does not report it.
     """
     return f"{registered_id}@{born_ms}" if born_ms else registered_id
 
@@ -55,39 +59,44 @@
     """One start of a backend server."""
 
     backend_id: str
-    """Identifies this start (see ``incarnation_id``). A restarted backend server has
-    another one, also where it registers under the same id: it holds nothing of what
-    the earlier start held, so nothing that is known of that one may count for it."""
+    """Identifies this start (see ``incarnation_id``).
+
+    A restarted backend server gets another id, even if it registers under the same
+    one: it has lost its state, so nothing known about the earlier start applies.
+    """
     service: str
     address: str
     zone: str
     state: BackendState
     slots: int
     domain: str = ""
-    """Fabric domain; groups that cross domains are slow."""
+    """Fabric domain: backend servers with a fast interconnect.
+
+    Groups that span several domains are slow.
+    """
     staged_models: tuple[str, ...] = ()
-    """Models whose weights lie on its host."""
+    """Models whose weights are preloaded into the memory of its host."""
     loaded_models: tuple[str, ...] = ()
     membership: GroupMembership | None = None
     born_ms: int = 0
-    """Unix milliseconds of its start; 0 where the platform does not tell."""
+    """Unix milliseconds of its start; 0 if the platform does not report it."""
 
     @property
     def registered_id(self) -> str:
-        """The id by which the backend server itself and the platform know it."""
+        """Id that the backend server itself and the platform use."""
         return self.backend_id.removesuffix(f"@{self.born_ms}")
 
     @property
     def is_head(self) -> bool:
-        """Whether this is the member of its group that takes requests."""
+        """Whether this is the member of its group that receives requests."""
         return self.membership is not None and self.membership.rank == 0
 
     @property
     def is_open_head(self) -> bool:
-        """Whether requests may be sent to this head now."""
+        """Whether this is the head of an open group, to which requests may be sent."""
         return self.is_head and self.membership.state is MemberState.OPEN
 
     @property
     def takes_streams(self) -> bool:
-        """Whether it is an open head that is not leaving."""
+        """Whether this is the head of an open group and not draining."""
         return self.is_open_head and self.state is BackendState.READY
--- a/packages/catalog/src/fordhatch/catalog/_calls.py
+++ b/packages/catalog/src/fordhatch/catalog/_calls.py
@@ -1,4 +1,4 @@
-"""What the headers of a request and of an answer say."""
+"""Header fields of requests and answers."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 @attrs.frozen
 class CallFields:
-    """The fields of a caller's request that decide how it is served."""
+    """Header fields of a caller's request that decide how it is served."""
 
     request_id: str
     deadline_s: float | None
-    """How long the caller waits, from its sending."""
+    """Time that the caller waits for the answer, from sending the request."""
     api_keys: tuple[str, ...]
-    """Every API key that was sent; a proper request has at most one."""
+    """All API keys in the request; a valid request has at most one."""
     model: str = ""
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     last_event_id: str = ""
-    """The caller's stream goes on after this event; empty for a new stream."""
+    """Event after which the caller's stream resumes; empty for a new stream."""
 
 
 class RefusalKind(StrEnum):
-    """How a backend server says that it has not run a request."""
+    """How a backend server reports that it has not run a request."""
 
     NONE = "none"
-    """It says no such thing: the request may have run."""
+    """Not reported: the request may have run."""
     NOT_EXECUTED = "not_executed"
     OTHER_BACKEND = "other_backend"
-    """The address belongs to another backend server now, or to another member."""
+    """The address now belongs to another backend server or another member."""
 
 
 class PressureKind(StrEnum):
-    """What a backend server may ask of those who send it requests."""
+    """Kind of a backpressure signal in a backend server's answer."""
 
     REST = "rest"
     LIMIT = "limit"
@@ -43,29 +43,29 @@
 
 @attrs.frozen
 class Backpressure:
-    """What one answer of a backend server asks of its callers."""
+    """Backpressure signals in one answer of a backend server."""
 
     rest_s: float | None = None
-    """It wants nothing from this node for so long."""
+    """Back-off: how long this node must not send requests; None for no back-off."""
     limit_per_s: float | None = None
-    """Requests a second that it takes from all nodes together; None for any number."""
+    """Rate limit for all nodes together, in requests per second; None for no limit."""
     is_leaving: bool = False
-    """It wants no new requests any more."""
+    """Whether the backend server is leaving and accepts no new requests."""
     unreadable: frozenset[PressureKind] = frozenset()
-    """What was said and could not be read."""
+    """Kinds of signals that were present but malformed."""
 
 
 @attrs.frozen
 class AnswerFields:
-    """The fields of a backend server's answer that decide what to do with it."""
+    """Header fields of a backend server's answer that decide how it is handled."""
 
     request_id: str
     refusal: RefusalKind
     is_signed: bool
-    """Whether it bears the signature that every answer of a backend server has."""
+    """Whether the answer has the signature that every backend server adds."""
     has_encoding: bool
-    """Whether the body was encoded on the way: then it is not the original."""
+    """Whether the body was encoded in transit and so is not the original."""
     backend_at_fault: str = ""
-    """The backend server that a refusal names as the cause, if any."""
+    """Backend server that a refusal reports as the cause, if any."""
     backpressure: Backpressure = Backpressure()
-    """What the backend server that has answered asks for."""
+    """Backpressure signals of the answering backend server."""
--- a/packages/catalog/src/fordhatch/catalog/_configuration.py
+++ b/packages/catalog/src/fordhatch/catalog/_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration in the project's own terms."""
+"""Data classes of the operators' configuration, independent of its file format."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated on a route."""
+    """Whether requests of a route may be retried, and the form of their answers."""
 
     IDEMPOTENT = "idempotent"
     """Requests may be executed any number of times."""
     NON_IDEMPOTENT = "non_idempotent"
-    """Requests may be executed once at most."""
+    """Requests may be executed at most once."""
     STREAMING = "streaming"
     """Answers are event streams."""
 
 
 @attrs.frozen
 class RouteTarget:
-    """A service that a route leads to, with its share of the route's requests."""
+    """A service that a route sends requests to, with its weight among the targets."""
 
     service: str
     weight: float
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix go, and under which limits."""
+    """Targets and limits for requests of one host and path prefix."""
 
     name: str
     host: str
@@ -36,19 +36,19 @@
     kind: RouteKind
     targets: tuple[RouteTarget, ...]
     timeout_s: float
-    """Longest time that a request may be kept waiting for its answer."""
+    """Maximum time that a request may wait for its answer."""
     goal_s: float
-    """Time within which an answer (of a stream, the first event) is on time."""
+    """Latency objective for the answer, or for the first event of a stream."""
     attempts: int
-    """Most backend servers that may run one request."""
+    """Maximum number of backend servers that may run one request."""
     priority: int
-    """Rank among routes; 0 is the most urgent."""
+    """Priority among routes; 0 is the most urgent."""
     is_public: bool = False
     """Whether requests need no API key."""
     is_resumable: bool = False
-    """Whether a broken stream may go on at another backend server."""
+    """Whether a broken stream may resume on another backend server."""
     max_gap_s: float | None = None
-    """Longest pause between events of a stream that is on time."""
+    """Latency objective for the gap between two events of a stream; None for none."""
 
     @property
     def is_repeatable(self) -> bool:
@@ -60,35 +60,35 @@
 
 @attrs.frozen
 class ModelProfile:
-    """A model and what one replica of it needs."""
+    """A model and the requirements of one replica of it."""
 
     name: str
     size: int
-    """Members of a replica group."""
+    """Number of members of a replica group."""
     share: float
-    """Share of the service's work that asks for this model, at the start."""
+    """Declared share of the service's work for this model, used at the start."""
     pace: float
     """Factor on all engine times of a group of this model."""
     load_s: float
     """Time to load the weights from the weight store."""
     warm_s: float
-    """Time to load the weights when they are staged on the host."""
+    """Time to load the weights when they are preloaded into host memory."""
     wanted_groups: int | None = None
-    """Groups that are declared; None where the share decides."""
+    """Declared number of groups; None where the share decides."""
     most_groups: int | None = None
-    """Groups beyond which no more are formed; None where there is no limit."""
+    """Maximum number of groups; None for no limit."""
     weight: float = 1.0
-    """What the waits of this model's callers count for, beside others'."""
+    """Weight of this model's queueing delays relative to those of other models."""
 
 
 @attrs.frozen
 class EngineProfile:
-    """How fast the engines of a service work; times are of pace 1."""
+    """Performance parameters of a service's engines, with times for a pace of 1."""
 
     slots: int
     kv_tokens: int
     stride: int
-    """Token steps of one pass while requests are writing."""
+    """Token steps per forward pass while requests generate output."""
     step_s: float
     per_sequence_s: float
     context_s_per_kilotoken: float
@@ -96,10 +96,11 @@
     pairs_s_per_million: float
     chunk_tokens: int
     loads_per_s: float
-    """Most loads of weights that may begin in a second, over all."""
+    """Maximum rate at which weight loads may start, over all backend servers."""
     loads_at_once: int
-    """Concurrent loads beyond this slow each other down."""
+    """Number of concurrent loads above which loads slow each other down."""
     staged_models_kept: int
+    """Number of models whose weights stay preloaded on a host."""
     form_s: float
     """Time between the order to open a group and its first request."""
     usual_prompt_tokens: float
@@ -107,11 +108,15 @@
     models: tuple[ModelProfile, ...]
 
     def model(self, name: str) -> ModelProfile | None:
-        """Return the profile of a model, or None where it is not declared."""
+        """Return the profile of a model, or None if it is not declared."""
         return next((m for m in self.models if m.name == name), None)
 
     def pass_s(self, running: int) -> float:
-        """Return the duration of one pass with ``running`` requests, in seconds."""
+        """Return the duration of a forward pass, in seconds.
+
+        Args:
+            running: Number of requests in the batch.
+        """
         context = running * (self.usual_prompt_tokens + self.usual_answer_tokens)
         step_s = (
             self.step_s
@@ -123,16 +128,16 @@
     def busy_s(
         self, model: ModelProfile, prompt_tokens: float, answer_tokens: float
     ) -> float:
-        """Return for how long a request keeps a full group busy, in seconds.
+        """Return how long a request occupies a full group, in seconds.
 
-        A token's share of the passes is that of a group whose places are all taken:
-        so much a group can do, whatever it does now.
+        A token's fraction of a forward pass is computed for a group with all slots in
+        use: that is the group's capacity, independent of its current load.
         """
         token_s = self.pass_s(self.slots) / max(self.stride * self.slots, 1)
         return model.pace * (self.prefill_s(prompt_tokens) + answer_tokens * token_s)
 
     def prefill_s(self, prompt_tokens: float) -> float:
-        """Return the time to read a prompt, in seconds."""
+        """Return the time to process a prompt (prefill), in seconds."""
         pairs_millions = prompt_tokens * prompt_tokens / 2.0 / 1e6
         return (
             prompt_tokens / self.read_tokens_per_s
@@ -142,7 +147,7 @@
 
 @attrs.frozen
 class Service:
-    """Backend servers that run the same thing."""
+    """A set of interchangeable backend servers."""
 
     name: str
     health_path: str
@@ -153,20 +158,20 @@
 
 @attrs.frozen
 class Workspace:
-    """A customer; its API keys lead to it."""
+    """A customer, identified by its API keys."""
 
     name: str
     priority: int | None = None
-    """Goes before the route's priority where it is set."""
+    """Overrides the route's priority; None keeps it."""
     applications: frozenset[str] | None = None
-    """Routes that it may use; None where every route is open to it."""
+    """Names of the routes that it may use; None for all routes."""
     max_concurrent: int | None = None
-    """Most open requests at one node; None where there is no limit."""
+    """Maximum number of open requests per node; None for no limit."""
 
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -183,7 +188,7 @@
     services: dict[str, Service]
     limits: Limits
     workspace_by_key: dict[str, Workspace] | None = None
-    """Workspace of each API key; None where keys are not used at all."""
+    """Workspace of each API key; None if API keys are not used."""
 
     def engine_services(self) -> list[Service]:
         """Return the services whose backend servers form groups."""
--- a/packages/catalog/src/fordhatch/catalog/_demand.py
+++ b/packages/catalog/src/fordhatch/catalog/_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask of models."""
+"""Callers' demand for models."""
 
 from __future__ import annotations
 
@@ -9,34 +9,33 @@
 
 @attrs.frozen
 class ModelDemand:
-    """What callers ask of one model, at one node or at all of them."""
+    """Callers' demand for one model, at one node or at all nodes."""
 
     requests_per_s: float = 0.0
     busy_groups: float = 0.0
-    """Full groups that these requests keep busy, by the times that the engine
-    declares."""
+    """Full groups that these requests occupy, computed from the engine profile."""
 
     def __add__(self, other: ModelDemand) -> ModelDemand:
-        """Return what both ask together."""
+        """Return the sum of both demands."""
         return ModelDemand(
             self.requests_per_s + other.requests_per_s,
             self.busy_groups + other.busy_groups,
         )
 
     def times(self, factor: float) -> ModelDemand:
-        """Return a multiple of it."""
+        """Return the demand multiplied by a factor."""
         return ModelDemand(self.requests_per_s * factor, self.busy_groups * factor)
 
     def towards(self, other: ModelDemand, times: float) -> ModelDemand:
-        """Return an average that has followed another demand for a while.
+        """Return this exponential moving average updated with another demand.
 
         Args:
-            other: What is asked now.
-            times: For how many of the average's own times it has followed.
+            other: The current demand.
+            times: Elapsed time as a multiple of the average's time constant.
         """
         weight = -math.expm1(-times)
         return self.times(1.0 - weight) + other.times(weight)
 
 
 ModelKey = tuple[str, str]
-"""A service and one of its models."""
+"""Name of a service and of one of its models."""
--- a/packages/catalog/src/fordhatch/catalog/_group_names.py
+++ b/packages/catalog/src/fordhatch/catalog/_group_names.py
@@ -1,4 +1,4 @@
-"""Names of replica groups, which say the model that a group serves."""
+"""Names of replica groups, which contain the name of the served model."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def group_name(model: str, epoch: int) -> str:
-    """Return the name of the group that is formed under an epoch."""
+    """Return the name of the group formed for a model in an epoch."""
     return f"{model}{_SEPARATOR}{epoch}"
 
 
 def model_of_group(name: str) -> str:
-    """Return the model that a group serves."""
+    """Return the model served by the group of this name."""
     return name.rpartition(_SEPARATOR)[0]
--- a/packages/catalog/src/fordhatch/catalog/_node_settings.py
+++ b/packages/catalog/src/fordhatch/catalog/_node_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a node gets from the platform, in the project's own terms."""
+"""Data classes of a node's settings, independent of the platform's format."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 @attrs.frozen
 class SystemBounds:
-    """Times and ratios that the whole system keeps to."""
+    """Time limits and ratios that all nodes of the system must respect."""
 
     stable_s: float
-    """After this long without trouble an instance counts as healthy."""
+    """An instance counts as healthy after this long without a fault."""
     drain_s: float
-    """A backend server that leaves gets no request later than this."""
+    """Time after which a leaving backend server receives no more requests."""
     grace_s: float
-    """Time between the signal to stop and the kill."""
+    """Time between the stop signal and the kill signal."""
     config_apply_s: float
-    """An accepted configuration is in force everywhere within this time."""
+    """Time within which an accepted configuration is in effect on all nodes."""
     outer_s: float
-    """The most that trouble of the store adds to ``config_apply_s``."""
+    """Maximum time that a fault of the store adds to ``config_apply_s``."""
     is_revocation_strict: bool
     revoke_s: float
-    """A removed API key is refused everywhere within this time."""
+    """Time within which a removed API key is rejected on all nodes."""
     retry_budget_ratio: float
-    """Repeats allowed for each request, over all nodes."""
+    """Retries allowed per request, over all nodes."""
     retry_window_s: float
     retry_slack: float
-    """Repeats allowed besides the ratio in each window, over all nodes."""
+    """Retries allowed in each window in addition to the ratio, over all nodes."""
     stall_s: float
-    """Work of a group that lost a member stands still this long, then breaks."""
+    """Time that the work of a group with a lost member stalls before it fails."""
     is_fence_required: bool
     load_window_s: float
     load_over: float
-    """Factor on the rate of loads that is still tolerated in a window."""
+    """Factor by which the load rate may be exceeded within a window."""
     pass_on_s: float
-    """An event of a stream is late when it takes longer than this through a node."""
+    """Maximum time that a node may take to forward an event of a stream."""
 
 
 @attrs.frozen
 class StoreLimits:
-    """Where the platform's store is and what it allows."""
+    """Address and limits of the platform's store."""
 
     address: str
     writes_per_s: float
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class NodeSettings:
-    """Everything that a node learns at its start."""
+    """All settings that a node receives at its start."""
 
     node_name: str
     zone: str
@@ -59,16 +59,16 @@
     caller_address: str
     ready_address: str
     peer_address: str
-    """Where other nodes reach this one, ``host:port``."""
+    """Address for connections from other nodes, ``host:port``."""
     is_first_start: bool
-    """Whether the whole system starts for the first time."""
+    """Whether the system starts for the first time."""
     heartbeat_s: float
-    """Time between the heartbeats of backend servers."""
+    """Interval between the heartbeats of a backend server."""
     memory_mb: float
     max_descriptors: int
     cores: float
-    """Processor cores that the node may use."""
+    """Processor cores available to the node."""
     link_mbps: float
-    """Rate of its link, in megabits a second."""
+    """Bandwidth of its network link, in megabits per second."""
     bounds: SystemBounds
     store: StoreLimits
