--- a/packages/protocol/src/fordhatch/protocol/_messages.py
+++ b/packages/protocol/src/fordhatch/protocol/_messages.py
@@ -213,8 +213,8 @@
 class CrashesSeen:
     """Notifies a node of backend servers that crashed while running a content.
 
-    A content is what a request asks a backend server to run, without its identity: the
-    same content may arrive in several requests.
+    A content is the work in a request without the request's identity: several requests,
+    such as a caller's retries, may have the same content.
     """
 
     crashes: list[tuple[str, str, int]] = attrs.field(validator=_crashes)
--- a/packages/protocol/tests/test_protocol.py
+++ b/packages/protocol/tests/test_protocol.py
@@ -283,8 +283,8 @@
     await server.close()
 
 
-async def test_a_node_that_has_just_started_refuses_instead_of_unreachable() -> None:
-    """A starting node has no shared key yet, and must not be taken for stopped.
+async def test_a_starting_node_counts_as_refusing_and_not_as_unreachable() -> None:
+    """A starting node, which has no shared key yet, must not count as unreachable.
 
     Its listener fails the handshake; a stopped node has no listener.
     """
