--- a/packages/core/src/fordhatch/core/_line_writer.py
+++ b/packages/core/src/fordhatch/core/_line_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever making a request wait."""
+"""Non-blocking writer for log lines."""
 
 from __future__ import annotations
 
@@ -9,45 +9,48 @@
 
 import attrs
 
-MAX_WAITING_LINES = 4000
-"""Lines that wait for a slow reader; more are dropped and counted."""
+MAX_QUEUED_LINES = 4000
+"""Maximum number of lines queued for a slow reader; further lines are dropped."""
 
 LINES_PER_S = 400.0
-"""Lines written in a second on average; a node decides about fifty requests a second
-at its usual load, with three lines each, and some more for what it believes."""
+"""Maximum mean rate of lines.
+
+At its usual load a node handles about fifty requests a second with three lines each,
+and logs some more lines about the state of other nodes and backend servers.
+"""
 
 BURST_LINES = 1600.0
-"""Lines that may be written at once after a quiet time."""
+"""Maximum number of lines in a burst (size of the token bucket)."""
 
-BATCH_S = 0.05
-"""Time in which lines gather into one write."""
+BATCH_INTERVAL_S = 0.05
+"""Time for which lines are collected into one write."""
 
 
 @attrs.define(eq=False, repr=False)
 class LineWriter:
-    """Hands lines to a thread that writes them to a file descriptor.
+    """Passes lines to a thread that writes them to a file descriptor.
 
-    A full pipe costs lines, never requests. How many were dropped is said in a line
-    of its own as soon as lines can be written again.
+    When the pipe is full, lines are dropped, so that logging never delays a request.
+    A ``lines_dropped`` line reports their number as soon as writing works again.
     """
 
     descriptor: int
     lines_per_s: float = LINES_PER_S
     dropped: int = 0
     _tokens: float = BURST_LINES
-    _filled_s: float = attrs.field(factory=time.monotonic)
+    _refilled_s: float = attrs.field(factory=time.monotonic)
     _lines: deque[str] = attrs.field(factory=deque)
     _wake: threading.Event = attrs.field(factory=threading.Event)
     _thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start the thread that writes."""
-        self._thread = threading.Thread(target=self._write_all, daemon=True)
+        """Start the writer thread."""
+        self._thread = threading.Thread(target=self._write_loop, daemon=True)
         self._thread.start()
 
     def write(self, line: str) -> None:
-        """Take a line without its end; never waits."""
-        if len(self._lines) >= MAX_WAITING_LINES or not self._take_token():
+        """Queue a line, given without its line break; never blocks."""
+        if len(self._lines) >= MAX_QUEUED_LINES or not self._take_token():
             self.dropped += 1
             return
         self._lines.append(line)
@@ -55,23 +58,23 @@
 
     def _take_token(self) -> bool:
         now_s = time.monotonic()
-        earned = (now_s - self._filled_s) * self.lines_per_s
+        earned = (now_s - self._refilled_s) * self.lines_per_s
         self._tokens = min(self._tokens + earned, BURST_LINES)
-        self._filled_s = now_s
+        self._refilled_s = now_s
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
-    def _write_all(self) -> None:
+    def _write_loop(self) -> None:
         while True:
             self._wake.wait()
-            time.sleep(BATCH_S)
+            time.sleep(BATCH_INTERVAL_S)
             self._wake.clear()
             self.flush()
 
     def flush(self) -> None:
-        """Write what waits; may wait for the reader."""
+        """Write the queued lines; blocks while the pipe is full."""
         lines = []
         while self._lines:
             lines.append(self._lines.popleft())
@@ -83,6 +86,6 @@
             try:
                 data = data[os.write(self.descriptor, data) :]
             except OSError:
-                # Nobody reads any more: there is nowhere to say so.
+                # The reader has closed the pipe, so the error cannot be logged.
                 self.dropped += len(lines)
                 return
