--- a/bench/own_guards.py
+++ b/bench/own_guards.py
@@ -13,7 +13,7 @@
     Guard(
         "the claim is written before the dispatch",
         "chat/_chat_server.py",
-        "            if asked.idempotency_key:\n",
+        "            if context.idempotency_key:\n",
         "            if False:\n",
         f"{ONCE} -k repeats_at_the_same_time",
     ),
--- a/packages/chat/src/fordhatch/chat/__init__.py
+++ b/packages/chat/src/fordhatch/chat/__init__.py
@@ -1,4 +1,7 @@
-"""Fordhatch's own interface for callers, on the same request path as the platform's."""
+"""Fordhatch's own HTTP interface for callers.
+
+It uses the same request path as the platform's interface.
+"""
 
 from __future__ import annotations
 
--- a/packages/chat/src/fordhatch/chat/_caller_checks.py
+++ b/packages/chat/src/fordhatch/chat/_caller_checks.py
@@ -1,4 +1,4 @@
-"""What every request of a caller of fordhatch's own interface is checked for."""
+"""Checks that apply to every request on fordhatch's own interface for callers."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 KEY_HEADER = "Idempotency-Key"
 
-LONGEST_KEY = 255
-"""Longest idempotency key."""
+MAX_KEY_LENGTH = 255
+"""Longest idempotency key, in characters."""
 
 _BEARER = "Bearer "
 
 
 @attrs.frozen
-class CallerTerms:
-    """What every request of a caller says, checked."""
+class CallerContext:
+    """Validated headers of a request, with the caller's workspace and configuration."""
 
     key_hash: str
     configuration: DeclaredConfiguration
@@ -41,50 +41,54 @@
 
 @attrs.define(eq=False, repr=False)
 class CallerChecks:
-    """Checks key, deadline, marks, application and length."""
+    """Validates API key, headers, timeout, application and body length of a request."""
 
     path: RequestPath
     limits: Limits
 
-    def check(self, http_request: web.BaseRequest) -> Result[CallerTerms, Failure]:
-        """Check what is the same for every kind of request."""
-        stopped = self.path.state.why_not()
-        if stopped is not None:
-            return Err(stopped)
+    def check(self, http_request: web.BaseRequest) -> Result[CallerContext, Failure]:
+        """Check the parts that every kind of request has in common.
+
+        Returns:
+            The request's context, or the failure to answer with.
+        """
+        not_serving = self.path.state.why_not()
+        if not_serving is not None:
+            return Err(not_serving)
         header = http_request.headers.get("Authorization", "")
         if not header.startswith(_BEARER):
             return Err(Failure.from_code(ResultCode.UNAUTHENTICATED))
         key_hash = hash_key(header.removeprefix(_BEARER).strip())
-        known = self.path.admission.authenticate(_ANY_ROUTE, (key_hash,))
-        if known.is_err():
-            return known
+        authenticated = self.path.admission.authenticate(_ANY_ROUTE, (key_hash,))
+        if authenticated.is_err():
+            return authenticated
         timeout = self._timeout_s(http_request)
         if timeout.is_err():
             return timeout
         key = http_request.headers.get(KEY_HEADER, "")
-        if len(key) > LONGEST_KEY:
-            return Err(bad_request(f"{KEY_HEADER} is longer than {LONGEST_KEY}"))
-        mark = http_request.headers.get("X-Repeatable", "true").lower()
-        if mark not in ("true", "false"):
+        if len(key) > MAX_KEY_LENGTH:
+            return Err(bad_request(f"{KEY_HEADER} is longer than {MAX_KEY_LENGTH}"))
+        repeatable = http_request.headers.get("X-Repeatable", "true").lower()
+        if repeatable not in ("true", "false"):
             return Err(bad_request("X-Repeatable must be true or false"))
         configuration = self.path.state.view.configuration.current
         return Ok(
-            CallerTerms(
+            CallerContext(
                 key_hash,
                 configuration,
-                known.unwrap(),
+                authenticated.unwrap(),
                 timeout.unwrap(),
                 key,
-                mark == "true",
+                repeatable == "true",
             )
         )
 
     def _timeout_s(self, http_request: web.BaseRequest) -> Result[float, Failure]:
-        asked = http_request.headers.get("X-Timeout-S")
-        if asked is None:
+        value = http_request.headers.get("X-Timeout-S")
+        if value is None:
             return Ok(self.limits.default_timeout_s)
         try:
-            timeout_s = float(asked)
+            timeout_s = float(value)
         except ValueError:
             return Err(bad_request("X-Timeout-S is not a number"))
         if not 0 < timeout_s <= self.limits.max_timeout_s:
@@ -95,14 +99,24 @@
         return Ok(timeout_s)
 
     def application(
-        self, asked: CallerTerms, name: str, *, is_model: bool
+        self, context: CallerContext, name: str, *, is_model: bool
     ) -> Result[Application, Failure]:
-        """Return an application that the workspace may use, of the kind asked for."""
-        declared = asked.configuration.declared
+        """Return an application that the workspace may use.
+
+        Args:
+            context: The checked request.
+            name: The application's name.
+            is_model: Whether the application must be served by a model; otherwise
+                it must be a plain service.
+
+        Returns:
+            The application, or the failure to answer with.
+        """
+        declared = context.configuration.declared
         application = declared.application(name)
         if application is None:
             return Err(Failure.from_code(ResultCode.UNKNOWN_MODEL, f"no {name!r}"))
-        if application.name not in asked.workspace.applications:
+        if application.name not in context.workspace.applications:
             return Err(Failure.from_code(ResultCode.FORBIDDEN))
         service = declared.service(application.service)
         if isinstance(service, ModelService) is not is_model:
@@ -110,27 +124,32 @@
         return Ok(application)
 
     async def body(self, http_request: web.BaseRequest) -> Result[bytes, Failure]:
-        """Return the whole body, unless it is too long."""
+        """Return the complete body, or a failure if it is longer than the limit."""
         body = bytearray()
-        async for piece in http_request.content.iter_any():
-            body += piece
+        async for chunk in http_request.content.iter_any():
+            body += chunk
             if len(body) > self.limits.max_body_bytes:
                 return Err(Failure.from_code(ResultCode.BODY_TOO_LARGE))
         return Ok(bytes(body))
 
 
 _ANY_ROUTE = Route("", "", "/", RouteKind.NON_IDEMPOTENT, (), 0.0, 0.0, 1, 0)
-"""Every route of this interface needs an API key."""
+"""Placeholder to authenticate with before the route is known: every route of this
+interface requires an API key."""
 
 
 def route_for(
-    asked: CallerTerms, application: Application, method: str, target: str
+    context: CallerContext, application: Application, method: str, target: str
 ) -> Route:
-    """Return an application's route as it is for one request."""
-    routes = asked.configuration.routes
+    """Return an application's route, adapted to one request.
+
+    The request's timeout replaces the route's. A request that may not run twice gets
+    one attempt and is neither resumed nor treated as idempotent.
+    """
+    routes = context.configuration.routes
     route = next(r for r in routes if r.name == application.name)
-    route = attrs.evolve(route, timeout_s=asked.timeout_s)
-    if asked.may_repeat and application.may_repeat(method, target):
+    route = attrs.evolve(route, timeout_s=context.timeout_s)
+    if context.may_repeat and application.may_repeat(method, target):
         return route
     kind = route.kind
     if kind is RouteKind.IDEMPOTENT:
--- a/packages/chat/src/fordhatch/chat/_chat_body.py
+++ b/packages/chat/src/fordhatch/chat/_chat_body.py
@@ -1,4 +1,4 @@
-"""The body of a chat completion, checked."""
+"""Parsing and validation of the body of a chat completion request."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from fordhatch.core import Failure, Ran, ResultCode
 
-MOST_TOKENS = 32768
-"""Longest answer that a caller may ask for."""
+MAX_OUTPUT_TOKENS = 32768
+"""Largest ``max_tokens`` that a caller may request."""
 
 DEFAULT_TOKENS = 16
-"""Length of an answer whose caller names none, as is usual for this interface."""
+"""``max_tokens`` of a request without it, the usual default of this interface."""
 
 CHARACTERS_PER_TOKEN = 4
-"""Usual for English text; the engines' queues reckon with the prompt's length."""
+"""Usual for English text; estimates a prompt's length for the engines' queues."""
 
 
 def bad_request(message: str) -> Failure:
-    """Return the failure of a request that is malformed."""
+    """Return the failure for a malformed request."""
     return Failure.from_code(ResultCode.BAD_REQUEST, message, ran=Ran.NO)
 
 
 @attrs.frozen
 class ChatBody:
-    """What a caller asks a model for."""
+    """A chat completion request."""
 
     application: str
     messages: list[dict[str, Any]]
@@ -36,7 +36,7 @@
 
     @classmethod
     def from_json(cls, content: bytes) -> Result[ChatBody, Failure]:
-        """Return the body, or what is wrong with it."""
+        """Parse a request's body, or return a failure that names the first error."""
         try:
             body = json.loads(content)
         except (ValueError, RecursionError) as error:
@@ -55,20 +55,22 @@
                 return Err(bad_request(text))
         tokens = body.get("max_tokens", DEFAULT_TOKENS)
         is_number = isinstance(tokens, int) and not isinstance(tokens, bool)
-        if not is_number or not 1 <= tokens <= MOST_TOKENS:
-            return Err(bad_request(f"'max_tokens' must be from 1 to {MOST_TOKENS}"))
+        if not is_number or not 1 <= tokens <= MAX_OUTPUT_TOKENS:
+            return Err(
+                bad_request(f"'max_tokens' must be from 1 to {MAX_OUTPUT_TOKENS}")
+            )
         if not isinstance(body.get("stream", False), bool):
             return Err(bad_request("'stream' must be true or false"))
         return Ok(cls(body["model"], messages, tokens, body.get("stream", False)))
 
     @property
     def prompt_tokens(self) -> int:
-        """About how many tokens the prompt has."""
+        """Estimated length of the prompt in tokens, at least 1."""
         length = sum(len(entry["content"]) for entry in self.messages)
         return max(length // CHARACTERS_PER_TOKEN, 1)
 
-    def for_engine(self, adapter: str) -> bytes:
-        """Return the body that the engine gets."""
+    def to_engine_body(self, adapter: str) -> bytes:
+        """Return the body to send to the engine."""
         fields: dict[str, Any] = {
             "messages": self.messages,
             "max_tokens": self.max_tokens,
--- a/packages/chat/src/fordhatch/chat/_chat_server.py
+++ b/packages/chat/src/fordhatch/chat/_chat_server.py
@@ -1,4 +1,4 @@
-"""The callers' address of fordhatch's own interface: chat completions, plain calls."""
+"""HTTP server of fordhatch's own interface: chat completions, plain services."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from fordhatch.core import Failure, ResultCode, Timer, log_event
 from fordhatch.serving import RequestPath, ServedRequest
 
-from ._caller_checks import CallerChecks, CallerTerms, route_for
+from ._caller_checks import CallerChecks, CallerContext, route_for
 from ._chat_body import ChatBody
 from ._claim_rows import Claim, ClaimKey
 from ._claims import ClaimService, Ticket
@@ -30,40 +30,41 @@
 )
 
 CHAT_PATH = "/v1/chat/completions"
-"""Path of chat completions, also in the operators' routes."""
+"""Path of chat completions; the operators' routes name it too."""
 
 MODELS_PATH = "/v1/models"
 
 READY_PATH = "/ready"
-"""Where a balancer asks whether the node takes callers."""
+"""Readiness probe for load balancers."""
 
 SERVICES_PREFIX = "/services/"
 """Plain services are called below ``/services/<application>``."""
 
 LIMIT_RETRY_AFTER_S = 1.0
-"""When a workspace at its limit may come back: requests take about as long."""
+"""``Retry-After`` for a workspace at its limit: about the duration of a request."""
 
-_PASSED_HEADERS = ("Content-Type", "Accept")
-"""Callers' headers that plain services see."""
+_FORWARDED_HEADERS = ("Content-Type", "Accept")
+"""Request headers that are forwarded to plain services."""
 
 Reply = ChatReply | CallReply
 
 
 @attrs.define(eq=False, repr=False)
 class ChatServer:
-    """Checks callers' requests and passes them on to the request path."""
+    """Validates callers' requests and hands them to the request path."""
 
     path: RequestPath
     claims: ClaimService
     checks: CallerChecks
     timer: Timer
-    _by_workspace: Counter[str] = attrs.field(factory=Counter)
+    _running_by_workspace: Counter[str] = attrs.field(factory=Counter)
+    """Requests in progress, by workspace."""
 
     @classmethod
     def create(
         cls, path: RequestPath, claims: ClaimService, limits: Limits, timer: Timer
     ) -> ChatServer:
-        """Return the callers' edge of a request path."""
+        """Return a server for a request path."""
         return cls(path, claims, CallerChecks(path, limits), timer)
 
     async def handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
@@ -76,19 +77,19 @@
             return served.response or web.Response()
         return web.Response()
 
-    async def _route(self, http_request: web.BaseRequest, plain: CallReply) -> Reply:
+    async def _route(self, http_request: web.BaseRequest, reply: CallReply) -> Reply:
         path, method = http_request.path, http_request.method
         if path == READY_PATH and method == "GET":
-            await plain.whole(*self._ready())
-            return plain
+            await reply.whole(*self._ready())
+            return reply
         if path == MODELS_PATH and method == "GET":
-            return await self._models(http_request, plain)
+            return await self._models(http_request, reply)
         if path == CHAT_PATH and method == "POST":
             return await self._chat(http_request)
         if path.startswith(SERVICES_PREFIX):
-            return await self._call(http_request, plain)
-        await plain.refuse(Failure.from_code(ResultCode.NOT_FOUND))
-        return plain
+            return await self._call(http_request, reply)
+        await reply.refuse(Failure.from_code(ResultCode.NOT_FOUND))
+        return reply
 
     def _ready(self) -> tuple[int, list[tuple[str, str]], bytes]:
         state = self.path.state
@@ -103,17 +104,17 @@
         return status, kind, json.dumps(body).encode()
 
     async def _models(self, http_request: web.BaseRequest, reply: CallReply) -> Reply:
-        """List the applications of the workspace that are served by models."""
-        asked = self.checks.check(http_request)
-        if asked.is_err():
-            await reply.refuse(asked.unwrap_err())
+        """List the workspace's applications that are served by models."""
+        checked = self.checks.check(http_request)
+        if checked.is_err():
+            await reply.refuse(checked.unwrap_err())
             return reply
-        checked = asked.unwrap()
-        declared = checked.configuration.declared
+        context = checked.unwrap()
+        declared = context.configuration.declared
         data = [
-            {"id": a.name, "object": "model", "owned_by": checked.workspace.name}
+            {"id": a.name, "object": "model", "owned_by": context.workspace.name}
             for a in declared.applications
-            if a.name in checked.workspace.applications
+            if a.name in context.workspace.applications
             and isinstance(declared.service(a.service), ModelService)
         ]
         body = json.dumps({"object": "list", "data": data}).encode()
@@ -130,16 +131,16 @@
         if built.is_err():
             await self._refuse(reply, built.unwrap_err())
             return reply
-        request, asked = built.unwrap()
-        return await self._serve(request, asked, reply)
+        request, context = built.unwrap()
+        return await self._serve(request, context, reply)
 
     async def _chat_request(
         self, http_request: web.BaseRequest, reply: ChatReply, arrived_s: float
-    ) -> Result[tuple[ServedRequest, CallerTerms], Failure]:
+    ) -> Result[tuple[ServedRequest, CallerContext], Failure]:
         checked = self.checks.check(http_request)
         if checked.is_err():
             return checked
-        asked = checked.unwrap()
+        context = checked.unwrap()
         content = await self.checks.body(http_request)
         if content.is_err():
             return content
@@ -147,23 +148,23 @@
         if parsed.is_err():
             return parsed
         body = parsed.unwrap()
-        found = self.checks.application(asked, body.application, is_model=True)
+        found = self.checks.application(context, body.application, is_model=True)
         if found.is_err():
             return found
         application = found.unwrap()
         reply.application = application.name
         reply.is_streamed = body.is_streamed
-        service = asked.configuration.declared.service(application.service)
+        service = context.configuration.declared.service(application.service)
         fields = CallFields(
             reply.request_id,
-            asked.timeout_s,
-            (asked.key_hash,),
+            context.timeout_s,
+            (context.key_hash,),
             model=self._model(service),
             prompt_tokens=body.prompt_tokens,
             max_output_tokens=body.max_tokens,
         )
         admitted = self.path.admission.admit(
-            route_for(asked, application, "POST", CHAT_PATH),
+            route_for(context, application, "POST", CHAT_PATH),
             fields,
             method="POST",
             target=CHAT_PATH,
@@ -171,20 +172,20 @@
                 *model_call_headers(fields),
                 ("Content-Type", "application/json"),
             ],
-            body=body.for_engine(application.adapter),
+            body=body.to_engine_body(application.adapter),
             arrived_s=arrived_s,
         )
-        return admitted.map(lambda request: (request, asked))
+        return admitted.map(lambda request: (request, context))
 
     def _model(self, service: ModelService) -> str:
-        """Return the version to ask for: an earlier one while the new one forms."""
+        """Return the version to request: an earlier one until the new one serves."""
         wanted = model_name(service)
         directory = self.path.state.view.directory
         serving = directory.served_models(service.accelerator)
         if wanted in serving:
             return wanted
-        earlier = [m for m in serving if m.partition("@")[0] == service.model]
-        return max(earlier, default=wanted)
+        earlier_versions = [m for m in serving if m.partition("@")[0] == service.model]
+        return max(earlier_versions, default=wanted)
 
     # Plain services.
 
@@ -194,19 +195,19 @@
         if built.is_err():
             await self._refuse(reply, built.unwrap_err())
             return reply
-        request, asked = built.unwrap()
-        return await self._serve(request, asked, reply)
+        request, context = built.unwrap()
+        return await self._serve(request, context, reply)
 
     async def _call_request(
         self, http_request: web.BaseRequest, arrived_s: float
-    ) -> Result[tuple[ServedRequest, CallerTerms], Failure]:
+    ) -> Result[tuple[ServedRequest, CallerContext], Failure]:
         checked = self.checks.check(http_request)
         if checked.is_err():
             return checked
-        asked = checked.unwrap()
-        rest = http_request.raw_path.removeprefix(SERVICES_PREFIX)
-        name, _, target = rest.partition("/")
-        found = self.checks.application(asked, name, is_model=False)
+        context = checked.unwrap()
+        relative_path = http_request.raw_path.removeprefix(SERVICES_PREFIX)
+        name, _, target = relative_path.partition("/")
+        found = self.checks.application(context, name, is_model=False)
         if found.is_err():
             return found
         body = await self.checks.body(http_request)
@@ -214,12 +215,12 @@
             return body
         target = f"/{target}"
         fields = CallFields(
-            f"req-{secrets.token_hex(10)}", asked.timeout_s, (asked.key_hash,)
+            f"req-{secrets.token_hex(10)}", context.timeout_s, (context.key_hash,)
         )
-        route = route_for(asked, found.unwrap(), http_request.method, target)
-        passed = [
+        route = route_for(context, found.unwrap(), http_request.method, target)
+        forwarded = [
             (name, http_request.headers[name])
-            for name in _PASSED_HEADERS
+            for name in _FORWARDED_HEADERS
             if name in http_request.headers
         ]
         admitted = self.path.admission.admit(
@@ -227,48 +228,48 @@
             fields,
             method=http_request.method,
             target=target,
-            headers=[*model_call_headers(fields), *passed],
+            headers=[*model_call_headers(fields), *forwarded],
             body=body.unwrap(),
             arrived_s=arrived_s,
         )
-        return admitted.map(lambda request: (request, asked))
+        return admitted.map(lambda request: (request, context))
 
     # Serving.
 
     async def _serve(
-        self, request: ServedRequest, asked: CallerTerms, reply: Reply
+        self, request: ServedRequest, context: CallerContext, reply: Reply
     ) -> Reply:
-        name, most = asked.workspace.name, asked.workspace.max_concurrent
-        if most is not None and self._by_workspace[name] >= most:
+        name, limit = context.workspace.name, context.workspace.max_concurrent
+        if limit is not None and self._running_by_workspace[name] >= limit:
             failure = Failure.from_code(
                 ResultCode.WORKSPACE_LIMIT, retry_after_s=LIMIT_RETRY_AFTER_S
             )
             await self._refuse(reply, failure)
             return reply
-        self._by_workspace[name] += 1
+        self._running_by_workspace[name] += 1
         try:
-            if asked.idempotency_key:
-                await self._serve_once(request, asked, reply)
+            if context.idempotency_key:
+                await self._serve_once(request, context, reply)
             else:
                 await self.path.dispatch.serve(request, reply)
         finally:
-            self._by_workspace[name] -= 1
+            self._running_by_workspace[name] -= 1
         return reply
 
     async def _serve_once(
-        self, request: ServedRequest, asked: CallerTerms, reply: Reply
+        self, request: ServedRequest, context: CallerContext, reply: Reply
     ) -> None:
         digest = hashlib.sha256(request.body + request.target.encode()).hexdigest()
-        key = ClaimKey(asked.workspace.name, asked.idempotency_key, digest)
-        taken = await self.claims.take(key)
-        if taken.is_err():
-            await self._refuse(reply, taken.unwrap_err())
-        elif isinstance(taken.unwrap(), Ticket):
-            # It goes on when its caller leaves: a repeat then finds the answer.
-            work = self._run_claimed(request, taken.unwrap(), reply)
-            await asyncio.shield(self.claims.finish(work, "claimed"))
+        key = ClaimKey(context.workspace.name, context.idempotency_key, digest)
+        claimed = await self.claims.acquire(key)
+        if claimed.is_err():
+            await self._refuse(reply, claimed.unwrap_err())
+        elif isinstance(claimed.unwrap(), Ticket):
+            # Continues after the caller disconnects, so that a retry finds the answer.
+            work = self._run_claimed(request, claimed.unwrap(), reply)
+            await asyncio.shield(self.claims.run_to_completion(work, "claimed"))
         else:
-            await self._repeat(request, key, taken.unwrap(), reply)
+            await self._serve_retry(request, key, claimed.unwrap(), reply)
 
     async def _run_claimed(
         self, request: ServedRequest, ticket: Ticket, reply: Reply
@@ -282,7 +283,7 @@
         else:
             await self.claims.release(ticket)
 
-    async def _repeat(
+    async def _serve_retry(
         self, request: ServedRequest, key: ClaimKey, claim: Claim, reply: Reply
     ) -> None:
         if claim.request_digest != key.request_digest:
@@ -293,7 +294,7 @@
         if settled.is_err():
             await self._refuse(reply, settled.unwrap_err())
         elif settled.unwrap() is None:
-            # The one before has proved not to have run.
+            # The claim was released: the earlier request has not run.
             failure = Failure.from_code(
                 ResultCode.IN_PROGRESS, retry_after_s=LIMIT_RETRY_AFTER_S
             )
--- a/packages/chat/src/fordhatch/chat/_claim_rows.py
+++ b/packages/chat/src/fordhatch/chat/_claim_rows.py
@@ -1,4 +1,4 @@
-"""Claim rows: one for each idempotency key that was used."""
+"""Claim rows: the store's record of each idempotency key that was used."""
 
 from __future__ import annotations
 
@@ -13,29 +13,33 @@
 from fordhatch.adapter import ABSENT, DecodeError, Row, RowKey, StoreVersion
 
 CLAIM_TABLE = "fordhatch-claims"
-"""The table of claims; nobody follows it."""
+"""The table of claims. No node subscribes to its updates."""
 
 PART_DIGITS = 2
-"""Hexadecimal digits of a claim's hash that name its part of the table: the store
-carries out the transactions of one part one after the other."""
+"""Leading hexadecimal digits of a claim's hash that name its part of the table. The
+store runs the transactions of one part one after another, so claims are spread."""
 
 PARTS = tuple(f"{number:0{PART_DIGITS}x}" for number in range(16**PART_DIGITS))
 """Every part of the table."""
 
 
 class ClaimState(StrEnum):
-    """How far the request of a claim is."""
+    """Progress of the request that a claim stands for."""
 
     RUNNING = "running"
     DONE = "done"
-    """It ran, and its answer is stored."""
+    """The request ran, and its answer is stored."""
     LOST = "lost"
-    """It was sent, and its answer will not be known."""
+    """The request was sent, and its answer is not available."""
 
 
 @attrs.frozen
 class ClaimKey:
-    """What makes two requests the same one."""
+    """Identity of a request that is to run once.
+
+    The digest is not part of the row's key: it detects a key that is reused for
+    another request.
+    """
 
     workspace: str
     idempotency_key: str
@@ -43,7 +47,7 @@
 
     @property
     def row_key(self) -> RowKey:
-        """The claim's row."""
+        """Key of the claim's row."""
         name = f"{self.workspace}\n{self.idempotency_key}".encode()
         digest = hashlib.sha256(name).hexdigest()
         return RowKey(CLAIM_TABLE, digest, digest[:PART_DIGITS])
@@ -51,40 +55,41 @@
 
 @attrs.frozen
 class StoredAnswer:
-    """A complete answer as it came from the backend server."""
+    """A complete answer as received from the backend server."""
 
     status: int
     headers: list[list[str]]
     body: bytes
     is_stream: bool
-    """Whether the body is the events of a model's answer."""
+    """Whether the body holds the events of a model's streamed answer."""
 
     def to_json(self) -> dict[str, object]:
-        """Return the answer as it stands in the row."""
+        """Return the answer in the form stored in a row."""
         return {**attrs.asdict(self), "body": base64.b64encode(self.body).decode()}
 
     @classmethod
     def from_json(cls, fields: dict[str, object]) -> StoredAnswer:
-        """Return the answer that stands in a row."""
+        """Return the answer from the form stored in a row."""
         return cls(**{**fields, "body": base64.b64decode(str(fields["body"]))})
 
 
 @attrs.frozen
 class Claim:
-    """A claim as it lies in the store."""
+    """A claim as stored in its row."""
 
     write_id: str
-    """Changes with every write, so that a lost answer can be read back."""
+    """Changes with every write: after a lost response of the store, a read shows
+    whether the write took effect."""
     state: ClaimState
     request_digest: str
     node_name: str
     start_id: str
-    """The start of the node that took it."""
+    """Identifies the process of the node that made the claim."""
     expires_at_s: float
-    """Time of day; rows are only cleaned by it, nothing is decided."""
+    """Wall-clock time after which the row is removed; used for cleanup only."""
     answer: StoredAnswer | None = None
     version: StoreVersion = ABSENT
-    """The row's version; not part of its value."""
+    """The row's version in the store; not part of its value."""
 
     def to_bytes(self) -> bytes:
         """Return the row's value."""
--- a/packages/chat/src/fordhatch/chat/_claims.py
+++ b/packages/chat/src/fordhatch/chat/_claims.py
@@ -1,7 +1,7 @@
-"""At most once: a claim row for each idempotency key, written before the dispatch.
+"""At-most-once execution: a claim row per idempotency key, written before dispatch.
 
-Once the row is there nobody else ever sends a request with this key: a repeat gets the
-stored answer, waits for the running one, or is told that the outcome is not known.
+Once the row exists, no other node sends a request with this key. A retry gets the
+stored answer, waits for the running request, or fails with an unknown outcome.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 from fordhatch.protocol.messages import QueryStatus, StatusReply
 from fordhatch.registry import NodeAddress
 
+from ._claim_restorer import ClaimRestorer
 from ._claim_rows import (
     CLAIM_TABLE,
     PARTS,
@@ -26,40 +27,39 @@
     ClaimState,
     StoredAnswer,
 )
-from ._kept_claims import KeptClaims
 
-CALL_TIMEOUT_S = 1.0
-"""Longest wait for the store; it answers within milliseconds when it is well."""
+STORE_TIMEOUT_S = 1.0
+"""Timeout of a call to the store, which normally answers within milliseconds."""
 
-POLL_S = 0.25
-"""First pause between looks at a claim that is running elsewhere."""
+POLL_INTERVAL_S = 0.25
+"""First interval between polls of a claim whose request is still running."""
 
-LONGEST_POLL_S = 1.0
-"""Longest pause between such looks."""
+MAX_POLL_INTERVAL_S = 1.0
+"""Longest interval between such polls."""
 
-ATTEMPTS = 8
-"""Tries to write the outcome of a claim before it is left as it is."""
+MAX_WRITE_ATTEMPTS = 8
+"""Attempts to write the outcome of a claim before its row is left unchanged."""
 
 RETRY_PAUSE_S = 0.2
-"""Pause before the second of them; it doubles each time."""
+"""Pause before the second attempt; it doubles with each further one."""
 
-ASK_TIMEOUT_S = 1.0
-"""Longest wait for the node that holds a claim."""
+STATUS_TIMEOUT_S = 1.0
+"""Timeout of a status query to the node that holds a claim."""
 
 RETRY_AFTER_S = 2.0
-"""When a caller may come back after trouble of the store."""
+"""``Retry-After`` for callers after a fault of the store, or while a request runs."""
 
-CLEAN_PARTS = 8
-"""Parts of the table that one pass of the cleaner looks through; with a pass each ten
-seconds every expired row is gone some minutes later."""
+PARTS_PER_CLEANUP = 8
+"""Parts of the table that one cleanup goes through. With a cleanup every ten seconds,
+an expired row is removed within some minutes."""
 
-CLEAN_PAGE = 500
-"""Rows in one page of the cleaner, the most that the store returns."""
+CLEANUP_PAGE_ROWS = 500
+"""Rows per page that a cleanup reads, the maximum that the store returns."""
 
 
 @attrs.frozen
 class Ticket:
-    """A claim that this node holds: it may send the request, once."""
+    """A claim that this node holds: permission to dispatch the request once."""
 
     key: ClaimKey
     claim: Claim
@@ -67,7 +67,7 @@
 
 @attrs.define(eq=False, repr=False)
 class ClaimService:
-    """Takes, settles and releases claims."""
+    """Acquires, settles, releases and cleans up claims."""
 
     node_name: str
     start_id: str
@@ -78,28 +78,28 @@
     timer: Timer
     expiry_s: float
     row_bytes: int
-    kept: KeptClaims = attrs.field(init=False)
+    kept: ClaimRestorer = attrs.field(init=False)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
     _next_part: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Build what remembers the claims."""
-        self.kept = KeptClaims(self.store, self.timer)
+        """Create the restorer of this node's claims."""
+        self.kept = ClaimRestorer(self.store, self.timer)
 
-    # Taking.
+    # Acquiring.
 
-    async def take(self, key: ClaimKey) -> Result[Ticket | Claim, Failure]:
-        """Claim a key for the one dispatch.
+    async def acquire(self, key: ClaimKey) -> Result[Ticket | Claim, Failure]:
+        """Claim a key for a single dispatch.
 
         Args:
             key: Workspace, idempotency key and digest of the request.
 
         Returns:
-            A ticket, or the claim that was there already. A failure has ``ran``
-            no: without a ticket nothing is sent.
+            A ticket, or the claim that already exists. A failure has ``ran`` no:
+            without a ticket the request is not sent.
         """
         if not self.kept.may_claim():
-            return Err(_not_claimed())
+            return Err(_claim_failure())
         claim = Claim(
             self._new_write_id(),
             ClaimState.RUNNING,
@@ -111,50 +111,55 @@
         written = await self.store.write(
             {key.row_key: ABSENT},
             {key.row_key: claim.to_bytes()},
-            timeout_s=CALL_TIMEOUT_S,
+            timeout_s=STORE_TIMEOUT_S,
         )
         if written.is_err() and written.unwrap_err().ran is Ran.NO:
-            return Err(_not_claimed())
+            return Err(_claim_failure())
         if written.is_ok() and written.unwrap().is_committed:
-            return await self._taken(key, claim, written.unwrap().version)
+            return await self._issue_ticket(key, claim, written.unwrap().version)
         found = await self.look_up(key)
         if found.is_ok() and found.unwrap() is not None:
             present = found.unwrap()
             if present.write_id == claim.write_id:
-                return await self._taken(key, claim, present.version)
+                return await self._issue_ticket(key, claim, present.version)
             return Ok(present)
         if written.is_err():
-            # The write may still take effect: take it back when it does.
-            self._tasks.spawn(self._release_late(key, claim.write_id), "release-late")
-        return Err(_not_claimed())
+            # The write may still take effect: release the claim if it does.
+            self._tasks.spawn(
+                self._release_if_written(key, claim.write_id), "release-late"
+            )
+        return Err(_claim_failure())
 
-    async def _taken(
+    async def _issue_ticket(
         self, key: ClaimKey, claim: Claim, version: StoreVersion
     ) -> Result[Ticket | Claim, Failure]:
-        """Return the ticket, unless this very answer tells of a return of the store."""
+        """Return the ticket, unless the store was restored from a backup meanwhile.
+
+        The response to the claim's own write may be the first sign of the restore.
+        """
         ticket = Ticket(key, attrs.evolve(claim, version=version))
         if not self.kept.may_claim():
             self._tasks.spawn(self.release(ticket), "release-after-return")
-            return Err(_not_claimed())
+            return Err(_claim_failure())
         metrics.CLAIMS.labels("taken").inc()
-        self.kept.note(key, claim)
+        self.kept.remember(key, claim)
         return Ok(ticket)
 
     def _new_write_id(self) -> str:
         return f"{self.start_id}-{self.timer.rng.getrandbits(64):016x}"
 
     async def look_up(self, key: ClaimKey) -> Result[Claim | None, Failure]:
-        """Return the claim of a key, if there is one."""
+        """Return the claim of a key, or None if the key is not claimed."""
         row_key = key.row_key
         read = await self.store.read(
             CLAIM_TABLE,
             part=row_key.part,
             first_key=row_key.key,
             limit=1,
-            timeout_s=CALL_TIMEOUT_S,
+            timeout_s=STORE_TIMEOUT_S,
         )
         if read.is_err():
-            return Err(_not_claimed())
+            return Err(_claim_failure())
         row = next((r for r in read.unwrap().rows if r.row_key == row_key), None)
         if row is None:
             return Ok(None)
@@ -167,62 +172,74 @@
     # The outcome.
 
     async def release(self, ticket: Ticket) -> None:
-        """Give up a claim whose request has not run."""
+        """Remove a claim whose request has not run."""
         metrics.CLAIMS.labels("released").inc()
-        await self._replace(ticket.key, ticket.claim, None)
+        await self._write_outcome(ticket.key, ticket.claim, None)
 
-    async def _release_late(self, key: ClaimKey, write_id: str) -> None:
-        for attempt in range(ATTEMPTS):
+    async def _release_if_written(self, key: ClaimKey, write_id: str) -> None:
+        """Release a claim whose write got no response, if it took effect."""
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             await self._pause(attempt)
             found = await self.look_up(key)
             present = found.ok()
             if present is not None and present.write_id == write_id:
-                await self._replace(key, present, None)
+                await self._write_outcome(key, present, None)
                 return
 
     async def settle(self, ticket: Ticket, answer: StoredAnswer) -> None:
-        """Store the whole answer, so that a repeat gets the same one."""
+        """Store the complete answer, so that a retry gets the same one.
+
+        An answer that is too long for a row is recorded as lost.
+        """
         done = attrs.evolve(ticket.claim, state=ClaimState.DONE, answer=answer)
         if len(done.to_bytes()) > self.row_bytes:
             log_event("answer_not_kept", key=ticket.key.row_key.key)
             await self.mark_lost(ticket)
             return
         metrics.CLAIMS.labels("settled").inc()
-        await self._replace(ticket.key, ticket.claim, done)
+        await self._write_outcome(ticket.key, ticket.claim, done)
 
     async def mark_lost(self, ticket: Ticket) -> None:
-        """Record that the request may have run and its answer is not kept."""
+        """Record that the request may have run and its answer is not stored."""
         metrics.CLAIMS.labels("lost").inc()
         lost = attrs.evolve(ticket.claim, state=ClaimState.LOST)
-        await self._replace(ticket.key, ticket.claim, lost)
+        await self._write_outcome(ticket.key, ticket.claim, lost)
 
-    async def _replace(self, key: ClaimKey, old: Claim, new: Claim | None) -> None:
-        """Write a claim's outcome, through lost answers and short outages."""
+    async def _write_outcome(
+        self, key: ClaimKey, old: Claim, new: Claim | None
+    ) -> None:
+        """Write a claim's outcome, with retries for lost responses and short outages.
+
+        Args:
+            key: The claim's key.
+            old: The claim as last written.
+            new: The claim to write; None removes the row.
+        """
         row_key = key.row_key
         version = old.version
         puts = {}
         if new is not None:
             new = attrs.evolve(new, write_id=self._new_write_id())
             puts[row_key] = new.to_bytes()
-            self.kept.note(key, new)
+            self.kept.remember(key, new)
         else:
             self.kept.forget(key)
         removes = () if new is not None else (row_key,)
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_WRITE_ATTEMPTS):
             await self._pause(attempt)
             written = await self.store.write(
-                {row_key: version}, puts, removes, timeout_s=CALL_TIMEOUT_S
+                {row_key: version}, puts, removes, timeout_s=STORE_TIMEOUT_S
             )
-            # A conflict means that an earlier try took effect: nobody else writes
-            # to a claim that another node holds.
+            # An uncommitted write means that an earlier attempt took effect: only the
+            # holder of a claim writes to it.
             if written.is_ok():
                 return
             if written.unwrap_err().code is ResultCode.STORE_CONFLICT:
-                version = await self._version_now(key, old)
+                version = await self._current_version(key, old)
         log_event("claim_not_settled", key=row_key.key)
 
-    async def _version_now(self, key: ClaimKey, old: Claim) -> StoreVersion:
-        """Return the version of a claim in a store that has come back from a copy."""
+    async def _current_version(self, key: ClaimKey, old: Claim) -> StoreVersion:
+        """Return the version of a claim in a store that was restored from a backup."""
         found = await self.look_up(key)
         present = found.ok()
         if present is None:
@@ -234,19 +251,19 @@
             pause_s = RETRY_PAUSE_S * 2 ** (attempt - 1)
             await self.timer.sleep(self.timer.jittered(pause_s))
 
-    # Repeats.
+    # Retries.
 
     async def wait(
         self, key: ClaimKey, claim: Claim, timeout_s: float
     ) -> Result[Claim | None, Failure]:
-        """Wait while another node runs the request.
+        """Wait while the request runs, here or on another node.
 
         Returns:
-            The settled claim; None where it was released; a failure at the
-            deadline, or as soon as the node that holds it is known to be gone.
+            The settled claim; None if it was released; a failure at the deadline,
+            or as soon as the process that holds it is known to have ended.
         """
         deadline_s = self.timer.now_s() + timeout_s
-        pause_s = POLL_S
+        pause_s = POLL_INTERVAL_S
         while claim.state is ClaimState.RUNNING:
             if self.timer.now_s() + pause_s >= deadline_s:
                 failure = Failure.from_code(
@@ -254,41 +271,44 @@
                 )
                 return Err(failure)
             await self.timer.sleep(pause_s)
-            pause_s = min(pause_s * 1.5, LONGEST_POLL_S)
-            # Asked before the row is read: a holder that has just settled its claim
-            # and ended must not be taken for one that left it open.
-            holder_lives = await self._holder_lives(claim)
+            pause_s = min(pause_s * 1.5, MAX_POLL_INTERVAL_S)
+            # Queried before the row is read: otherwise a holder that settles its claim
+            # and then ends would look like one that left the claim open.
+            may_holder_run = await self._may_holder_run(claim)
             found = await self.look_up(key)
             if found.is_err():
                 continue
             if found.unwrap() is None:
                 return Ok(None)
             claim = found.unwrap()
-            if claim.state is ClaimState.RUNNING and not holder_lives:
+            if claim.state is ClaimState.RUNNING and not may_holder_run:
                 return Err(Failure.from_code(ResultCode.OUTCOME_UNKNOWN))
         return Ok(claim)
 
-    async def _holder_lives(self, claim: Claim) -> bool:
-        """Return whether the process that took the claim may still be running.
+    async def _may_holder_run(self, claim: Claim) -> bool:
+        """Return whether the process that holds the claim may still be running.
 
-        Only a proof counts: another start answers at the node's address.
+        It counts as ended if the node is no longer registered, answers with another
+        ``start_id``, or accepts no connection. A query without an answer is no proof.
         """
         if claim.node_name == self.node_name:
             return claim.start_id == self.start_id
         address = self.nodes().get(claim.node_name)
         if address is None:
             return False
-        asked = await self.pool.request(address.address, QueryStatus(), ASK_TIMEOUT_S)
-        reply = asked.ok()
+        answered = await self.pool.request(
+            address.address, QueryStatus(), STATUS_TIMEOUT_S
+        )
+        reply = answered.ok()
         if not isinstance(reply, StatusReply):
-            return asked.is_ok() or asked.unwrap_err().ran is Ran.MAYBE
+            return answered.is_ok() or answered.unwrap_err().ran is Ran.MAYBE
         return reply.start_id == claim.start_id
 
-    # Cleaning.
+    # Cleanup.
 
     async def clean(self) -> None:
         """Remove expired claims from some parts of the table."""
-        for _ in range(CLEAN_PARTS):
+        for _ in range(PARTS_PER_CLEANUP):
             part = PARTS[self._next_part]
             self._next_part = (self._next_part + 1) % len(PARTS)
             await self._clean_part(part)
@@ -300,8 +320,8 @@
                 CLAIM_TABLE,
                 part=part,
                 first_key=first_key,
-                limit=CLEAN_PAGE,
-                timeout_s=CALL_TIMEOUT_S,
+                limit=CLEANUP_PAGE_ROWS,
+                timeout_s=STORE_TIMEOUT_S,
             )
             if page.is_err():
                 return
@@ -313,18 +333,18 @@
                         {row.row_key: row.version},
                         {},
                         (row.row_key,),
-                        timeout_s=CALL_TIMEOUT_S,
+                        timeout_s=STORE_TIMEOUT_S,
                     )
             if not page.unwrap().has_more or not rows:
                 return
             first_key = rows[-1].row_key.key + "\0"
 
-    def finish(self, work: object, name: str) -> asyncio.Task[object]:
-        """Run something to its end, also when its caller has left."""
+    def run_to_completion(self, work: object, name: str) -> asyncio.Task[object]:
+        """Run a coroutine to its end, even if the caller disconnects."""
         return self._tasks.spawn(work, name)  # type: ignore[arg-type]
 
     async def close(self) -> None:
-        """Wait for claims that are being settled, then stop."""
+        """Wait for pending writes of claims, then stop."""
         await self._tasks.drain()
         await self.kept.close()
 
@@ -337,7 +357,7 @@
         return True
 
 
-def _not_claimed() -> Failure:
+def _claim_failure() -> Failure:
     return Failure.from_code(
         ResultCode.STORE_UNAVAILABLE,
         "the claim could not be written, so the request was not sent",
--- a/packages/chat/src/fordhatch/chat/_replies.py
+++ b/packages/chat/src/fordhatch/chat/_replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers of fordhatch's own interface."""
+"""HTTP replies to callers of fordhatch's own interface."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from ._claim_rows import StoredAnswer
 
 CODE_HEADER = "X-Result-Code"
-"""Numbered result code of an answer that is not complete."""
+"""Numeric result code of a failed request."""
 
 RAN_HEADER = "X-Ran"
 """``no`` or ``maybe``: whether the request may have run."""
 
 REPLAYED_HEADER = "X-Replayed"
-"""``true`` where a stored answer is given again."""
+"""``true`` if the reply is a stored answer."""
 
 _DATA_LINE = re.compile(rb"^data:[ ]?(.*)$", re.MULTILINE)
 
 
 def failure_response(failure: Failure) -> web.Response:
-    """Return a failure as an HTTP answer: status, headers and body agree."""
+    """Return a failure as an HTTP response with matching status, headers and body."""
     headers = {CODE_HEADER: str(int(failure.code)), RAN_HEADER: failure.ran.value}
     if failure.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(failure.retry_after_s)))
@@ -39,8 +39,8 @@
     )
 
 
-def text_of(events: bytes) -> list[str]:
-    """Return the pieces of text in the events of a model's answer."""
+def parse_texts(events: bytes) -> list[str]:
+    """Return the text of each event of a model's answer."""
     pieces = []
     for match in _DATA_LINE.finditer(events):
         data = json.loads(match.group(1))
@@ -50,7 +50,7 @@
 
 @attrs.define(eq=False, repr=False)
 class _HttpReply:
-    """What both kinds of reply share."""
+    """Common base of the replies."""
 
     http_request: web.BaseRequest
     state: NodeState
@@ -80,17 +80,18 @@
 
 @attrs.define(eq=False, repr=False)
 class ChatReply(_HttpReply):
-    """A chat completion: streamed as chunks, or whole at its end."""
+    """A chat completion, streamed as chunks or sent in full at its end."""
 
     request_id: str = ""
     application: str = ""
     is_streamed: bool = False
     has_begun: bool = False
-    """Whether any event of the model's answer has come."""
+    """Whether the model's answer has begun."""
     pieces: list[str] = attrs.field(factory=list)
+    """Text of the events so far; each counts as a completion token."""
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Take the head of the model's answer."""
+        """Begin the reply; a streamed one sends its headers."""
         self.has_begun = True
         if self.is_streamed:
             response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
@@ -98,11 +99,11 @@
             await self._prepare(response)
 
     async def write(self, piece: bytes) -> None:
-        """Take events of the model's answer."""
-        fresh = text_of(piece)
-        self.pieces.extend(fresh)
+        """Process events of the model's answer."""
+        texts = parse_texts(piece)
+        self.pieces.extend(texts)
         if self.is_streamed:
-            chunks = [self._chunk({"content": text}, None) for text in fresh]
+            chunks = [self._chunk({"content": text}, None) for text in texts]
             await self.response.write(b"".join(chunks))
 
     async def end(self) -> None:
@@ -116,14 +117,15 @@
         await self.response.write_eof()
 
     async def abort(self) -> None:
-        """Say that the answer is not complete."""
+        """Report that the answer is incomplete."""
         failure = Failure.from_code(ResultCode.STREAM_INCOMPLETE)
         if not self.is_streamed:
             await self.refuse(failure)
             return
         self.outcome = "aborted"
         self.failure = failure
-        # The head has gone out: the error goes into the stream, without an end mark.
+        # The headers are already sent: the error goes into the stream, which then ends
+        # without ``[DONE]``.
         error = json.dumps(failure.to_json()).encode()
         await self.response.write(b"data: " + error + b"\n\n")
         await self.response.write_eof()
@@ -131,7 +133,7 @@
     async def whole(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Take an answer that is no stream: the engine has failed."""
+        """Refuse an answer that is not a stream, which means that the engine failed."""
         await self.refuse(
             Failure.from_code(ResultCode.BACKEND_ERROR, f"status {status}")
         )
@@ -161,22 +163,24 @@
 
 @attrs.define(eq=False, repr=False)
 class CallReply(_HttpReply):
-    """The answer of a plain service, which always comes whole."""
+    """A reply that is sent in full, such as the answer of a plain service."""
 
     async def whole(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
         self.outcome = f"status_{status}"
-        kinds = [value for name, value in headers if name.lower() == "content-type"]
-        kind = kinds[0] if kinds else "application/octet-stream"
+        content_types = [
+            value for name, value in headers if name.lower() == "content-type"
+        ]
+        kind = content_types[0] if content_types else "application/octet-stream"
         sent = CIMultiDict({"Content-Type": kind})
         await self._send(web.Response(status=status, headers=sent, body=body))
 
 
 @attrs.define(eq=False, repr=False)
 class RecordedReply:
-    """Keeps an answer to be stored, and passes it on while its caller is there."""
+    """Records an answer for storage and forwards it until the caller disconnects."""
 
     inner: Reply
     stored: StoredAnswer | None = None
@@ -188,63 +192,63 @@
 
     @property
     def outcome(self) -> str:
-        """What the caller got, for logs and metrics."""
+        """Outcome for the caller, for logs and metrics."""
         return self.inner.outcome
 
     @property
     def has_begun(self) -> bool:
-        """Whether any part of the answer has come."""
+        """Whether a streamed answer has begun."""
         return self._began
 
-    async def _pass_on(self, step: Any) -> None:
+    async def _forward(self, step: Any) -> None:
         if self._caller_left:
             step.close()
             return
         try:
             await step
         except ConnectionError:
-            # The request may run once only: its answer is kept for the next try.
+            # The request may run only once: its answer is recorded for a retry.
             self._caller_left = True
             self.inner.outcome = "caller_gone"
 
     async def refuse(self, failure: Failure) -> None:
         """Answer with the system's own failure."""
         self.failure = failure
-        await self._pass_on(self.inner.refuse(failure))
+        await self._forward(self.inner.refuse(failure))
 
     async def whole(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
         self.stored = StoredAnswer(status, [list(h) for h in headers], body, False)
-        await self._pass_on(self.inner.whole(status, headers, body))
+        await self._forward(self.inner.whole(status, headers, body))
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Take the head of a stream."""
+        """Begin a streamed answer."""
         self._began = True
         self._head = status, headers
-        await self._pass_on(self.inner.begin(status, headers))
+        await self._forward(self.inner.begin(status, headers))
 
     async def write(self, piece: bytes) -> None:
-        """Take events of a stream."""
+        """Record and forward events of a stream."""
         self._events.append(piece)
-        await self._pass_on(self.inner.write(piece))
+        await self._forward(self.inner.write(piece))
 
     async def end(self) -> None:
         """End a stream that is complete."""
         status, headers = self._head
-        kept = [list(h) for h in headers]
-        self.stored = StoredAnswer(status, kept, b"".join(self._events), True)
-        await self._pass_on(self.inner.end())
+        header_lists = [list(h) for h in headers]
+        self.stored = StoredAnswer(status, header_lists, b"".join(self._events), True)
+        await self._forward(self.inner.end())
 
     async def abort(self) -> None:
-        """Break off a stream."""
+        """Report that a stream is incomplete; nothing is stored."""
         self.failure = Failure.from_code(ResultCode.STREAM_INCOMPLETE)
-        await self._pass_on(self.inner.abort())
+        await self._forward(self.inner.abort())
 
 
 async def replay(answer: StoredAnswer, reply: Reply) -> None:
-    """Give a stored answer again."""
+    """Send a stored answer."""
     headers = [(name, value) for name, value in answer.headers]
     if not answer.is_stream:
         await reply.whole(answer.status, headers, answer.body)
