--- a/packages/config/src/fordhatch/config/__init__.py
+++ b/packages/config/src/fordhatch/config/__init__.py
@@ -1,4 +1,4 @@
-"""Node settings and operators' files, and how a file is accepted."""
+"""Node settings, operators' files, and the transaction that accepts a file."""
 
 from __future__ import annotations
 
--- a/packages/config/src/fordhatch/config/_apply.py
+++ b/packages/config/src/fordhatch/config/_apply.py
@@ -1,4 +1,7 @@
-"""Accepting an operators' file: one transaction moves the head and writes the audit."""
+"""Accepts operators' files: one transaction replaces the head and writes the audit.
+
+The head is the row of the store that holds the newest accepted file.
+"""
 
 from __future__ import annotations
 
@@ -17,34 +20,34 @@
 
 HEAD_ROW = RowKey(DECLARED_TABLE, HEAD_KEY)
 
-ATTEMPTS = 4
-"""How often a transaction with a lost answer is tried or read back."""
+MAX_ATTEMPTS = 4
+"""Attempts at one apply, including those that read back after a lost answer."""
 
 RETRY_PAUSE_S = 0.3
-"""Pause before reading back after a lost answer."""
+"""Pause before the next attempt, multiplied by the number of attempts made."""
 
 CALL_TIMEOUT_S = 2.0
-"""Longest wait for the store; a slow one answers within some hundred milliseconds."""
+"""Timeout of a store call; a slow store answers within a few hundred milliseconds."""
 
 RETRY_AFTER_S = 2.0
-"""When an operator may come back after trouble of the store."""
+"""Delay before an operator may retry after a fault of the store."""
 
 
 @attrs.frozen
 class ApplyRequest:
-    """An operator's wish to replace the declared state."""
+    """A request to replace the declared state."""
 
     content: bytes
     base_revision: int
-    """The revision that the operator's file was written against."""
+    """Revision on which the operator's file is based."""
     apply_id: str
-    """Unique to this apply; repeating it is harmless."""
+    """Unique identifier of this apply, which makes retries idempotent."""
     operator: str
 
 
 @attrs.frozen
 class Applied:
-    """A file that was accepted: it is durable and will come into force everywhere."""
+    """An accepted file: it is durable and will take effect on every node."""
 
     revision: int
     digest: str
@@ -53,42 +56,42 @@
 
 @attrs.define(eq=False, repr=False)
 class ConfigApplier:
-    """Accepts operators' files on any node."""
+    """Accepts operators' files. Any node can do this."""
 
     store: StoreClient
     timer: Timer
     row_bytes: int
-    """Longest value that a row of the store takes."""
+    """Maximal size of a row's value in the store, in bytes."""
 
     async def apply(self, request: ApplyRequest) -> Result[Applied, Failure]:
-        """Accept a file if nobody changed the state since its base revision.
+        """Accept a file if the state has not changed since its base revision.
 
         Args:
-            request: The file, its base and who applies it.
+            request: The file, its base revision and the operator.
 
         Returns:
-            What was accepted. A failure with ``ran`` no means that nothing
-            changed; with ``ran`` maybe the same apply must be repeated.
+            The accepted revision. A failure with ``ran`` no means that nothing
+            changed; with ``ran`` maybe the same apply must be retried.
         """
         parsed = OperatorsFile.from_json(request.content)
         if parsed.is_err():
             text = "; ".join(str(m) for m in parsed.unwrap_err())
             return Err(Failure.from_code(ResultCode.CONFIG_INVALID, text))
         uncertain = False
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 await self.timer.sleep(self.timer.jittered(RETRY_PAUSE_S * attempt))
-            tried = await self._try(request)
-            if tried.is_ok() or tried.unwrap_err().code in _FINAL:
-                return tried
-            uncertain |= tried.unwrap_err().ran is Ran.MAYBE
+            applied = await self._attempt(request)
+            if applied.is_ok() or applied.unwrap_err().code in _FINAL_CODES:
+                return applied
+            uncertain |= applied.unwrap_err().ran is Ran.MAYBE
         code = ResultCode.STORE_UNAVAILABLE
         if uncertain:
             code = ResultCode.CONFIG_OUTCOME_UNKNOWN
         return Err(Failure.from_code(code, retry_after_s=RETRY_AFTER_S))
 
-    async def _try(self, request: ApplyRequest) -> Result[Applied, Failure]:
-        """Read what is there and, if the base still holds, write the next revision."""
+    async def _attempt(self, request: ApplyRequest) -> Result[Applied, Failure]:
+        """Read the head and, if it is still the base, write the next revision."""
         read = await self._read(request.base_revision + 1)
         if read.is_err():
             return Err(read.unwrap_err())
@@ -105,7 +108,7 @@
     async def _read(
         self, revision: int
     ) -> Result[tuple[Row | None, Head | None, AuditRecord | None], Failure]:
-        """Return the head's row, the head, and the audit of a revision, if any."""
+        """Return the head's row, the head and a revision's audit record, if any."""
         heads = await self.store.read(DECLARED_TABLE, limit=1, timeout_s=CALL_TIMEOUT_S)
         if heads.is_err():
             return Err(heads.unwrap_err())
@@ -151,7 +154,7 @@
         if written.is_err():
             return Err(written.unwrap_err())
         if not written.unwrap().is_committed:
-            # Somebody else was faster; the next look says who.
+            # A concurrent apply was committed first; the next attempt reads its record.
             return Err(Failure.from_code(ResultCode.STORE_CONFLICT))
         log_event(
             "config_accepted",
@@ -181,12 +184,12 @@
             log_event("audit_not_written", error=written.err().message)
 
 
-_FINAL = (
+_FINAL_CODES = (
     ResultCode.CONFIG_CONFLICT,
     ResultCode.CONFIG_INVALID,
     ResultCode.INTERNAL,
 )
-"""Failures that another try doesn't change."""
+"""Codes of failures that another attempt cannot change."""
 
 
 def _conflict(audit: AuditRecord | None, head_revision: int) -> Failure:
--- a/packages/config/src/fordhatch/config/_audit.py
+++ b/packages/config/src/fordhatch/config/_audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: who applied what, when, on which revision, and what came of it."""
+"""The audit trail: operator, time, base revision, changes and outcome of each apply."""
 
 from __future__ import annotations
 
@@ -14,37 +14,40 @@
 from ._declared_configuration import Head
 
 AUDIT_TABLE = "fordhatch-audit"
-"""The table of the audit trail; nobody follows it."""
+"""Table of the audit trail; no node watches it."""
 
 ACCEPTED_PREFIX = "accepted/"
-"""Rows of accepted files, by revision."""
+"""Key prefix of the rows of accepted files, ordered by revision."""
 
 REFUSED_PREFIX = "refused/"
-"""Rows of files that lost a race, by time and apply identifier."""
+"""Key prefix of the rows of files refused because of a concurrent apply.
 
-MOST_CHANGES = 200
-"""Changes that a record names; a whole new file has hundreds."""
+They are ordered by time and apply identifier.
+"""
+
+MAX_CHANGES = 200
+"""Maximal number of changes listed in a record; a new file has hundreds."""
 
 READ_TIMEOUT_S = 2.0
-"""Longest wait for a page of the trail."""
+"""Timeout of the read of one page."""
 
 
 def accepted_key(revision: int) -> RowKey:
-    """Return the row of an accepted revision."""
+    """Return the row key of an accepted revision."""
     return RowKey(AUDIT_TABLE, f"{ACCEPTED_PREFIX}{revision:010d}")
 
 
 def refused_key(at_s: float, apply_id: str) -> RowKey:
-    """Return the row of a refused apply."""
+    """Return the row key of a refused apply."""
     return RowKey(AUDIT_TABLE, f"{REFUSED_PREFIX}{at_s:017.3f}-{apply_id}")
 
 
 @attrs.frozen
 class AuditRecord:
-    """One apply and what came of it."""
+    """One apply and its outcome."""
 
     revision: int
-    """0 where the file was refused."""
+    """0 if the file was refused."""
     digest: str
     apply_id: str
     operator: str
@@ -53,14 +56,14 @@
     changes: tuple[str, ...]
     outcome: str
     content: str = ""
-    """The accepted file; empty where it was refused."""
+    """The accepted file; empty if it was refused."""
 
     @classmethod
     def from_head(cls, head: Head, changes: list[str]) -> AuditRecord:
-        """Return the record of a file that is being accepted."""
-        named = tuple(changes[:MOST_CHANGES])
-        if len(changes) > MOST_CHANGES:
-            named = (*named, f"and {len(changes) - MOST_CHANGES} more")
+        """Return the record of a file that is about to be accepted."""
+        named = tuple(changes[:MAX_CHANGES])
+        if len(changes) > MAX_CHANGES:
+            named = (*named, f"and {len(changes) - MAX_CHANGES} more")
         return cls(
             head.revision,
             head.digest,
@@ -98,12 +101,12 @@
 
     Args:
         store: The platform's store.
-        after_key: Where the page before ended; empty for the first page.
-        limit: Most records of the page.
+        after_key: Last key of the previous page; empty for the first page.
+        limit: Maximal number of rows to read.
 
     Returns:
-        The records, accepted ones first, each kind in order; and where the page
-        ends, empty if nothing follows.
+        The records, accepted ones first, each kind in key order; and the last key
+        of the page, empty if no page follows. Malformed rows are logged and skipped.
     """
     first_key = after_key + "\0" if after_key else ""
     page = await store.read(
--- a/packages/config/src/fordhatch/config/_changes.py
+++ b/packages/config/src/fordhatch/config/_changes.py
@@ -1,20 +1,20 @@
-"""Differences between two documents, one line each."""
+"""Line-by-line description of the differences between two JSON documents."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-LONGEST_VALUE = 60
-"""Characters of a value shown in a change."""
+MAX_VALUE_CHARS = 60
+"""Maximal number of characters of a value shown in a change."""
 
 
 def describe_changes(old: object, new: object) -> list[str]:
-    """Return what changed, as ``path: old -> new`` lines in path order.
+    """Return the differences as ``path: old -> new`` lines in path order.
 
-    Named objects in lists are matched by name, so that a moved entry is no change.
+    Named objects in lists are matched by name, so a moved entry is not a change.
 
     Args:
-        old: The earlier document; None where there was none.
+        old: The earlier document; None if there was none.
         new: The later document.
     """
     before = dict(_flatten(old, "$"))
@@ -35,7 +35,7 @@
         for index, inner in enumerate(value):
             yield from _flatten(inner, f"{path}[{_label(inner, index)}]")
     elif value is not None:
-        yield path, str(value)[:LONGEST_VALUE]
+        yield path, str(value)[:MAX_VALUE_CHARS]
 
 
 def _label(value: object, index: int) -> str:
--- a/packages/config/src/fordhatch/config/_declared_configuration.py
+++ b/packages/config/src/fordhatch/config/_declared_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted operators' file: as it lies in the store, and as a configuration."""
+"""An accepted operators' file: its row in the store and the compiled configuration."""
 
 from __future__ import annotations
 
@@ -24,44 +24,47 @@
 from ._operators_file import Accelerator, Application, ModelService, OperatorsFile
 
 DECLARED_TABLE = "fordhatch-declared"
-"""The table with the file in force; every node follows it."""
+"""Table with the active file; every node watches it."""
 
 HEAD_KEY = "head"
-"""The row that holds the newest accepted file."""
+"""Key of the row that holds the newest accepted file."""
 
-GOAL_S = 1.7
-"""The first token is due within this time, by the users' plan for the next years."""
+FIRST_TOKEN_OBJECTIVE_S = 1.7
+"""Latency objective of the first token, from the users' plan for the coming years."""
 
-CALL_GOAL_S = 0.4
-"""A plain service's answer is due within this time, as its users declare today."""
+CALL_OBJECTIVE_S = 0.4
+"""Latency objective of a plain service's answer, as its users declare it today."""
 
-ATTEMPTS = 3
-"""Most backend servers that may run one request which may be repeated."""
+MAX_ATTEMPTS = 3
+"""Maximal number of backend servers that may run one repeatable request."""
 
-USUAL_PROMPT_TOKENS, USUAL_ANSWER_TOKENS = 1000.0, 100.0
-"""Means that the paces of the engines are reckoned with."""
+MEAN_PROMPT_TOKENS, MEAN_ANSWER_TOKENS = 1000.0, 100.0
+"""Mean request lengths from which the paces of the engines are calculated."""
 
-MOST_URGENT_PRIORITY = 9
-"""In the file higher priorities go first, at the engines lower ranks do."""
+MAX_PRIORITY = 9
+"""Highest priority in a file.
+
+In the file higher priorities go first, at the engines lower ranks do.
+"""
 
 MODEL_VERSION_SEPARATOR = "@"
-"""Engines know each version of a model under a name of its own."""
+"""Separates model and version: engines have a distinct name for each version."""
 
 
 @attrs.frozen
 class Head:
-    """The newest accepted file with what the audit says of it."""
+    """The newest accepted file with its audit data."""
 
     revision: int
     digest: str
     apply_id: str
     operator: str
     at_s: float
-    """Time of day at which it was accepted, for the record alone."""
+    """Unix time of acceptance, for the audit only."""
     content: bytes
 
     def to_bytes(self) -> bytes:
-        """Return the row's value; files compress to a tenth."""
+        """Return the row's value, compressed: files shrink to about a tenth."""
         fields = {**attrs.asdict(self), "content": self.content.decode()}
         return zlib.compress(json.dumps(fields).encode())
 
@@ -81,14 +84,14 @@
 
 @attrs.frozen
 class DeclaredConfiguration(Configuration):
-    """A configuration that was compiled from an operators' file."""
+    """A configuration compiled from an operators' file."""
 
     declared: OperatorsFile = attrs.field(kw_only=True)
     head: Head = attrs.field(kw_only=True)
 
 
 def model_name(service: ModelService) -> str:
-    """Return the name under which engines know the weights of a service."""
+    """Return the name that engines use for the weights of a service."""
     return f"{service.model}{MODEL_VERSION_SEPARATOR}{service.version}"
 
 
@@ -115,7 +118,7 @@
 
 
 DECLARED_ROW = ConfigurationRow(DECLARED_TABLE, HEAD_KEY, decode_declared)
-"""Where fordhatch's own operators' files lie."""
+"""Row and decoder of fordhatch's own operators' files."""
 
 
 def _route(declared: OperatorsFile, application: Application) -> Route:
@@ -128,8 +131,8 @@
         kind=RouteKind.STREAMING if is_model else RouteKind.IDEMPOTENT,
         targets=(RouteTarget(service.accelerator if is_model else service.name, 1.0),),
         timeout_s=0.0,
-        goal_s=GOAL_S if is_model else CALL_GOAL_S,
-        attempts=ATTEMPTS,
+        goal_s=FIRST_TOKEN_OBJECTIVE_S if is_model else CALL_OBJECTIVE_S,
+        attempts=MAX_ATTEMPTS,
         priority=0,
         is_resumable=is_model,
     )
@@ -160,8 +163,8 @@
         loads_at_once=accelerator.loads_at_once,
         staged_models_kept=accelerator.staged_models_kept,
         form_s=accelerator.form_s,
-        usual_prompt_tokens=USUAL_PROMPT_TOKENS,
-        usual_answer_tokens=USUAL_ANSWER_TOKENS,
+        usual_prompt_tokens=MEAN_PROMPT_TOKENS,
+        usual_answer_tokens=MEAN_ANSWER_TOKENS,
         models=tuple(_model(s, accelerator, adds_groups) for s in services),
     )
     return Service(accelerator.name, "/health", 0, profile)
@@ -188,7 +191,7 @@
     return {
         key: Workspace(
             w.name,
-            MOST_URGENT_PRIORITY - w.priority,
+            MAX_PRIORITY - w.priority,
             applications=frozenset(w.applications),
             max_concurrent=w.max_concurrent,
         )
--- a/packages/config/src/fordhatch/config/_operators_file.py
+++ b/packages/config/src/fordhatch/config/_operators_file.py
@@ -1,4 +1,4 @@
-"""Operators' files: the whole declared state."""
+"""Operators' files: the complete declared state."""
 
 from __future__ import annotations
 
@@ -16,10 +16,13 @@
 
 @attrs.frozen
 class Policy:
-    """How the planner weighs its two measures."""
+    """Weights of the planner's two objectives."""
 
     stranded_weight: float = 0.3
-    """0 weighs only group downtime, 1 only stranded accelerators."""
+    """0 counts only group downtime, 1 only stranded accelerators.
+
+    An accelerator is stranded if it belongs to no group.
+    """
 
 
 @attrs.frozen
@@ -33,20 +36,20 @@
 
 @attrs.frozen
 class ModelTimes:
-    """What one kind of accelerator needs to load a model's weights."""
+    """Times in which one kind of accelerator loads and runs a model."""
 
     model: str
     load_s: float
-    """From the weight store."""
+    """Time to load the weights from the weight store."""
     warm_s: float
-    """From the instance's own host."""
+    """Time to load weights preloaded into the memory of the instance's host."""
     pace: float = 1.0
-    """Factor on the accelerator's times for this model."""
+    """Factor by which the accelerator's times are multiplied for this model."""
 
 
 @attrs.frozen
 class Accelerator:
-    """A kind of backend server that runs model engines, with its usual times.
+    """A kind of backend server that runs model engines, with its typical times.
 
     Backend servers register under its name.
     """
@@ -54,24 +57,24 @@
     name: str
     models: list[ModelTimes]
     max_running: int = 16
-    """Requests that run on one replica at once."""
+    """Maximal number of concurrent requests on one replica."""
     step_s: float = 0.006
-    """Time of a token step."""
+    """Base time of one decoding step."""
     per_sequence_s: float = 0.0005
-    """What each running request adds to a step."""
+    """Time that each running request adds to a step."""
     read_tokens_per_s: float = 46_000.0
-    """Prompt tokens read in a second."""
+    """Prompt tokens processed per second."""
     form_s: float = 0.3
-    """Time between the order to open a group and its first request."""
+    """Time from the order to open a group until it can serve its first request."""
     loads_per_s: float = 4.0
-    """Loads that the weight store lets begin in a second."""
+    """Loads that the weight store lets start per second."""
     loads_at_once: int = 6
-    """Loads beyond this slow each other down."""
+    """Concurrent loads above which loads slow each other down."""
     staged_models_kept: int = 1
-    """Models that a host keeps staged."""
+    """Models whose weights a host keeps preloaded in its memory."""
 
     def times(self, model: str) -> ModelTimes | None:
-        """Return what a model needs here, or None where it can't run."""
+        """Return the times of a model, or None if the accelerator does not run it."""
         return next((m for m in self.models if m.model == model), None)
 
 
@@ -88,26 +91,29 @@
     adapters: list[str] = attrs.field(factory=list)
     importance: int = 50
     max_groups: int = 0
-    """Replicas that idle accelerators may add up to; below ``groups`` means none."""
+    """Upper limit for replicas added on idle accelerators.
+
+    A value below ``groups`` means that none are added.
+    """
 
     @property
     def most_groups(self) -> int:
-        """The most replicas that the file allows."""
+        """Maximal number of replicas that the file allows."""
         return max(self.groups, self.max_groups)
 
 
 @attrs.frozen
 class PlainService:
-    """A plain service beside the model engines."""
+    """A plain service that is not a model engine."""
 
     name: str
     max_connections: int = 100
-    """Connections that one backend server takes from all nodes together."""
+    """Connections that one backend server accepts from all nodes together."""
 
 
 @attrs.frozen
 class Route:
-    """Requests that may run at most once."""
+    """Pattern of requests that may run at most once."""
 
     method: str
     path_prefix: str
@@ -115,7 +121,7 @@
 
 @attrs.frozen
 class Application:
-    """What callers name: a service, perhaps with an adapter."""
+    """The target that callers name: a service, optionally with an adapter."""
 
     name: str
     service: str
@@ -123,7 +129,7 @@
     not_repeatable: list[Route] = attrs.field(factory=list)
 
     def may_repeat(self, method: str, path: str) -> bool:
-        """Return whether a request on this path may run more than once."""
+        """Return whether a request with this method and path may run more than once."""
         return not any(
             route.method == method and path.startswith(route.path_prefix)
             for route in self.not_repeatable
@@ -132,7 +138,7 @@
 
 @attrs.frozen
 class Workspace:
-    """A customer, with its keys, share and limits."""
+    """A customer with its API keys, share and limits."""
 
     name: str
     api_keys: list[str]
@@ -144,7 +150,7 @@
 
 @attrs.frozen
 class OperatorsFile:
-    """The declared state, checked as a whole."""
+    """The complete declared state, with its references checked."""
 
     format: int
     models: list[Model]
@@ -163,13 +169,13 @@
             content: Bytes of the file.
 
         Returns:
-            The declared state, or every mistake with its path.
+            The declared state, or all mistakes with their paths.
         """
         parsed = parse_document(content, OPERATORS_SCHEMA)
         if parsed.is_err():
             return parsed
         declared = structure(parsed.unwrap(), cls)
-        mistakes = [*_duplicates(declared), *_dangling(declared)]
+        mistakes = [*_duplicates(declared), *_unresolved_references(declared)]
         return Err(mistakes) if mistakes else Ok(declared)
 
     def application(self, name: str) -> Application | None:
@@ -178,11 +184,11 @@
 
     def service(self, name: str) -> ModelService | PlainService | None:
         """Return a service of either kind by name."""
-        every = [*self.model_services, *self.plain_services]
-        return next((s for s in every if s.name == name), None)
+        all_services = [*self.model_services, *self.plain_services]
+        return next((s for s in all_services if s.name == name), None)
 
     def workspace_of(self, key_hash: str) -> Workspace | None:
-        """Return the workspace that an API key's hash belongs to."""
+        """Return the workspace that owns an API key, given the key's hash."""
         return next((w for w in self.workspaces if key_hash in w.api_keys), None)
 
     def accelerator(self, name: str) -> Accelerator | None:
@@ -191,7 +197,7 @@
 
 
 def digest_of(content: bytes) -> str:
-    """Return the name under which a file is kept in the object store."""
+    """Return the SHA-256 digest that identifies a file, in hexadecimal."""
     return hashlib.sha256(content).hexdigest()
 
 
@@ -218,7 +224,7 @@
             yield _invalid(path, f"{name!r} appears more than once")
 
 
-def _dangling(declared: OperatorsFile) -> Iterable[Mistake]:
+def _unresolved_references(declared: OperatorsFile) -> Iterable[Mistake]:
     models = {m.name: m for m in declared.models}
     for index, service in enumerate(declared.model_services):
         path = f"$.model_services[{index}]"
--- a/packages/config/src/fordhatch/config/_schema.py
+++ b/packages/config/src/fordhatch/config/_schema.py
@@ -1,4 +1,7 @@
-"""Checks of JSON documents against the committed schemas, all mistakes at once."""
+"""Validation of JSON documents against the committed schemas.
+
+All mistakes of a document are reported at once.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
     """One mistake in a JSON document."""
 
     path: str
-    """Where it is, such as ``$.services[2].groups``."""
+    """JSON path of the mistake, such as ``$.services[2].groups``."""
     code: ResultCode
     message: str
 
@@ -37,7 +40,7 @@
         return f"{self.path}: {self.message} (code {int(self.code)})"
 
     def to_json(self) -> dict[str, object]:
-        """Return the mistake as it appears in error bodies."""
+        """Return the mistake in the form used in error bodies."""
         return {"path": self.path, "code": int(self.code), "message": self.message}
 
 
@@ -60,7 +63,7 @@
         schema: Name of the schema.
 
     Returns:
-        The document, or every mistake in path order.
+        The document, or all mistakes in path order.
     """
     try:
         document = json.loads(content)
--- a/packages/config/src/fordhatch/config/_settings.py
+++ b/packages/config/src/fordhatch/config/_settings.py
@@ -15,25 +15,25 @@
 from ._structure import structure
 
 HEARTBEAT_S = 1.2
-"""Time between heartbeats of backend servers, as on the users' platform."""
+"""Interval of the backend servers' heartbeats, the same as on the users' platform."""
 
 LINK_MBPS = 1000.0
-"""All nodes of such a deployment are taken to be alike."""
+"""Link rate of a node in Mbit/s; all nodes of a deployment are assumed to be alike."""
 
 LOAD_WINDOW_S = 5.0
-"""Window in which loads of weights are counted."""
+"""Window over which loads of weights are counted."""
 
-PASS_ON_S = 0.2
-"""An event that takes longer than this through a node counts as late."""
+LATE_FORWARDING_S = 0.2
+"""An event that takes longer than this to pass through a node counts as late."""
 
 
 @attrs.frozen
 class Address:
-    """Where a node listens."""
+    """Address on which a node listens."""
 
     host: str
     port: int
-    """0 takes any free port."""
+    """0 selects any free port."""
 
     def __str__(self) -> str:
         return f"{self.host}:{self.port}"
@@ -41,54 +41,55 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what callers may ask for, and of the store."""
+    """Limits on callers' requests and on rows of the store."""
 
     max_body_bytes: int = 2 * 1024 * 1024
-    """Longest request body."""
+    """Maximal size of a request body."""
     default_timeout_s: float = 60.0
-    """Deadline of a request that names none."""
+    """Time-out of a request that sets none."""
     max_timeout_s: float = 600.0
-    """Longest deadline a caller may ask for."""
+    """Longest time-out that a caller may request."""
     claim_expiry_s: float = 86400.0
-    """How long an idempotency key is remembered."""
+    """Time for which an idempotency key is kept."""
     row_bytes: int = 65536
-    """Longest value that a row of the store takes."""
+    """Maximal size of a row's value in the store."""
 
 
 @attrs.frozen
 class Retries:
-    """The budget for repeats, over all nodes."""
+    """The retry budget of all nodes together."""
 
     ratio: float = 0.2
-    """Repeats for each request."""
+    """Retries allowed per request."""
     slack: float = 100.0
-    """Repeats besides the ratio in each window."""
+    """Retries allowed in each window in addition to the ratio."""
     window_s: float = 10.0
 
 
 @attrs.frozen
 class Timing:
-    """Times that the whole system keeps to."""
+    """Time limits that apply to the system as a whole."""
 
     config_apply_s: float = 8.0
-    """An accepted file is in force everywhere within this time, as the users' plan
-    asks; a removed API key is refused everywhere within it as well."""
+    """An accepted file is active on every node within this time, as the users' plan
+    requires; a removed API key is refused everywhere within it as well."""
     outage_s: float = 120.0
-    """How long a node that can confirm its configuration with nobody goes on beyond
-    that: long outages of the store must not end the service."""
+    """How long a node that cannot confirm its configuration goes on serving beyond
+    ``config_apply_s``: long outages of the store must not stop the service."""
     drain_s: float = 3.0
-    """A backend server that leaves gets no new work later than this."""
+    """A backend server that leaves gets no new requests after this time."""
     stall_s: float = 5.0
-    """A group that lost a member stands still this long, then breaks."""
+    """Work of a group that has lost a member stalls for this time, then fails."""
     drain_grace_s: float = 5.0
-    """How long a leaving node still takes new requests, for the balancer."""
+    """How long a leaving node still accepts new requests, so that the load balancer
+    can remove it."""
     drain_limit_s: float = 600.0
     """Longest wait for streams in flight at shutdown."""
 
 
 @attrs.frozen
 class Settings:
-    """Everything a node learns from its settings file."""
+    """All settings of a node, as read from its settings file."""
 
     node_name: str
     region: str
@@ -111,7 +112,7 @@
             content: Bytes of the settings file.
 
         Returns:
-            The settings, or every mistake with its path.
+            The settings, or all mistakes with their paths.
         """
         parsed = parse_document(content, SETTINGS_SCHEMA)
         if parsed.is_err():
@@ -121,7 +122,7 @@
         return Err(mistakes) if mistakes else Ok(settings)
 
     def to_node_settings(self) -> NodeSettings:
-        """Return what the parts that every node has learn from these settings."""
+        """Return the settings in the form that the common parts of a node use."""
         return NodeSettings(
             node_name=self.node_name,
             zone=self.zone,
@@ -130,7 +131,7 @@
             caller_address=str(self.callers),
             ready_address=str(self.callers),
             peer_address=str(self.peers),
-            # Loads count from the first moment: nobody gives them away here.
+            # Loads count against the limit from the start: none are free here.
             is_first_start=False,
             heartbeat_s=HEARTBEAT_S,
             memory_mb=0.0,
@@ -158,11 +159,14 @@
             is_fence_required=False,
             load_window_s=LOAD_WINDOW_S,
             load_over=1.0,
-            pass_on_s=PASS_ON_S,
+            pass_on_s=LATE_FORWARDING_S,
         )
 
     def operator_of(self, token: str) -> str | None:
-        """Return whose token this is, in time that does not depend on it."""
+        """Return the operator that a token belongs to, or None.
+
+        The time taken does not depend on the token, so that it reveals nothing.
+        """
         digest = hash_key(token)
         found = None
         for name, expected in self.operator_tokens.items():
@@ -190,5 +194,5 @@
 
 
 def hash_key(secret: str) -> str:
-    """Return the form in which API keys and tokens are stored."""
+    """Return the hash in whose form API keys and tokens are stored."""
     return "sha256:" + hashlib.sha256(secret.encode()).hexdigest()
--- a/packages/config/src/fordhatch/config/_structure.py
+++ b/packages/config/src/fordhatch/config/_structure.py
@@ -1,4 +1,4 @@
-"""Conversion of plain data into attrs classes, every mistake at once."""
+"""Strict conversion of plain data into attrs classes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 _converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
 
 
-def _strict(kind: type) -> None:
+def _register_strict_hook(kind: type) -> None:
     def structure(value: object, _: object) -> object:
         accepted = (int, float) if kind is float else (kind,)
         is_bool = isinstance(value, bool) and kind is not bool
@@ -23,17 +23,18 @@
 
 
 for _kind in (int, float, str, bool):
-    _strict(_kind)
+    _register_strict_hook(_kind)
 
 
 def structure(data: object, into: type[T]) -> T:
     """Build an attrs object from plain data that a schema has checked.
 
     Args:
-        data: Maps, lists and scalars, as read from JSON.
-        into: The attrs class wanted.
+        data: Dictionaries, lists and scalars, as read from JSON.
+        into: The attrs class to build.
 
     Raises:
-        cattrs.BaseValidationError: If the schema let something pass.
+        cattrs.BaseValidationError: If the data does not fit the class, which means
+            that the schema is too permissive. It lists all mistakes.
     """
     return _converter.structure(data, into)
--- a/packages/config/tests/test_apply.py
+++ b/packages/config/tests/test_apply.py
@@ -1,4 +1,4 @@
-"""An accepted file is in force everywhere within seconds and never reverts."""
+"""An accepted file becomes active on every node within seconds and never reverts."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Operator:
-    """One node's way of accepting files."""
+class ApplierNode:
+    """A node that accepts files, with its store client and its view of the store."""
 
     store: MemoryStoreClient
     applier: ConfigApplier
     view: StoreView
 
     @classmethod
-    def at(cls, model: StoreModel, name: str) -> Operator:
+    def at(cls, model: StoreModel, name: str) -> ApplierNode:
         timer = Timer.from_seed(name)
         timer.wall_clock = lambda: 1e9 + asyncio.get_running_loop().time()
         store = MemoryStoreClient(model, name)
@@ -60,170 +60,174 @@
     return json.dumps(document).encode()
 
 
-def play(scenario: Callable[[StoreModel, list[Operator]], Awaitable[None]]) -> None:
-    """Run a scenario with three nodes on a virtual clock."""
+def run_scenario(
+    scenario: Callable[[StoreModel, list[ApplierNode]], Awaitable[None]],
+) -> None:
+    """Run a scenario with three nodes on a virtual clock.
 
-    async def whole() -> None:
+    Revision 1 has been accepted when the scenario starts.
+    """
+
+    async def run() -> None:
         model = StoreModel()
-        operators = [Operator.at(model, f"n{i}") for i in range(3)]
-        first = await operators[0].apply(2, 0, "first")
+        nodes = [ApplierNode.at(model, f"n{i}") for i in range(3)]
+        first = await nodes[0].apply(2, 0, "first")
         assert first.revision == 1
         try:
-            await scenario(model, operators)
+            await scenario(model, nodes)
         finally:
-            for operator in operators:
-                await operator.view.close()
+            for node in nodes:
+                await node.view.close()
 
-    run_in_virtual_time(whole())
+    run_in_virtual_time(run())
 
 
-async def until_in_force(operators: list[Operator], revision: int) -> float:
+async def wait_until_active(nodes: list[ApplierNode], revision: int) -> float:
+    """Return the seconds until a revision is active on every node."""
     loop = asyncio.get_running_loop()
-    began_s = loop.time()
-    while any(o.view.configuration.version < revision for o in operators):
-        assert loop.time() - began_s < 60
+    started_s = loop.time()
+    while any(n.view.configuration.version < revision for n in nodes):
+        assert loop.time() - started_s < 60
         await asyncio.sleep(0.02)
-    return loop.time() - began_s
+    return loop.time() - started_s
 
 
-def test_of_racing_operators_one_wins_and_the_other_is_told_who() -> None:
-    async def scenario(model, operators) -> None:
+def test_one_of_racing_operators_wins_and_the_others_learn_its_name() -> None:
+    async def scenario(model, nodes) -> None:
         done = await asyncio.gather(
-            *(o.apply(i, 1, f"r{i}") for i, o in enumerate(operators))
+            *(n.apply(i, 1, f"r{i}") for i, n in enumerate(nodes))
         )
         (won,) = [i for i, d in enumerate(done) if isinstance(d, Applied)]
         for index, result in enumerate(done):
             if index != won:
                 assert result.code is ResultCode.CONFIG_CONFLICT
                 assert f"operator-r{won}" in result.message
-        records, end = (await read_audit(operators[0].store, "", 100)).unwrap()
+        records, end = (await read_audit(nodes[0].store, "", 100)).unwrap()
         assert [r.outcome for r in records].count("accepted") == 2
         assert (len(records), end) == (4, "")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_repeat_after_a_lost_answer_is_the_same_apply() -> None:
-    async def scenario(model, operators) -> None:
+    async def scenario(model, nodes) -> None:
         model.faults.lost_answers = 1
-        first = await operators[0].apply(1, 1, "a")
-        again = await operators[1].apply(1, 1, "a")
+        first = await nodes[0].apply(1, 1, "a")
+        again = await nodes[1].apply(1, 1, "a")
         assert first == again
         assert first.revision == 2
         assert decode_declared(model.rows[HEAD].value).version == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_repeat_is_recognised_after_others_have_applied() -> None:
-    async def scenario(model, operators) -> None:
-        first = await operators[0].apply(1, 1, "a")
-        await operators[1].apply(2, 2, "b")
-        assert await operators[2].apply(1, 1, "a") == first
+def test_repeat_is_recognised_after_other_applies() -> None:
+    async def scenario(model, nodes) -> None:
+        first = await nodes[0].apply(1, 1, "a")
+        await nodes[1].apply(2, 2, "b")
+        assert await nodes[2].apply(1, 1, "a") == first
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_bad_file_changes_nothing() -> None:
-    async def scenario(model, operators) -> None:
+    async def scenario(model, nodes) -> None:
         before = dict(model.rows)
         request = ApplyRequest(b'{"format": 2}', 1, "a", "op")
-        failure = (await operators[0].applier.apply(request)).unwrap_err()
+        failure = (await nodes[0].applier.apply(request)).unwrap_err()
         assert (failure.code, failure.ran) == (ResultCode.CONFIG_INVALID, Ran.NO)
         assert model.rows == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_file_longer_than_a_row_is_refused_as_a_whole() -> None:
-    async def scenario(model, operators) -> None:
+def test_a_file_longer_than_a_row_changes_nothing() -> None:
+    async def scenario(model, nodes) -> None:
         before = dict(model.rows)
-        operators[0].applier.row_bytes = 200
-        failure = await operators[0].apply(1, 1, "a")
+        nodes[0].applier.row_bytes = 200
+        failure = await nodes[0].apply(1, 1, "a")
         assert (failure.code, failure.ran) == (ResultCode.CONFIG_INVALID, Ran.NO)
         assert model.rows == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_store_out_refuses_an_apply_as_not_done() -> None:
-    async def scenario(model, operators) -> None:
-        await until_in_force(operators, 1)
+def test_apply_during_a_store_outage_is_refused_as_not_run() -> None:
+    async def scenario(model, nodes) -> None:
+        await wait_until_active(nodes, 1)
         model.faults.is_down = True
-        failure = await operators[0].apply(1, 1, "a")
+        failure = await nodes[0].apply(1, 1, "a")
         assert failure.ran is Ran.NO
         model.faults.is_down = False
         await asyncio.sleep(20.0)
-        assert {o.view.configuration.version for o in operators} == {1}
+        assert {n.view.configuration.version for n in nodes} == {1}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_in_force_everywhere_within_eight_seconds_of_the_stores_return() -> None:
-    async def scenario(model, operators) -> None:
-        await until_in_force(operators, 1)
-        accepted = await operators[0].apply(1, 1, "a")
+def test_file_is_active_within_eight_seconds_after_a_store_outage() -> None:
+    async def scenario(model, nodes) -> None:
+        await wait_until_active(nodes, 1)
+        accepted = await nodes[0].apply(1, 1, "a")
         model.faults.is_down = True
         await asyncio.sleep(30.0)
         model.faults.is_down = False
-        assert await until_in_force(operators, accepted.revision) < 8.0
+        assert await wait_until_active(nodes, accepted.revision) < 8.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_accepted_file_is_in_force_within_milliseconds() -> None:
-    async def scenario(model, operators) -> None:
-        await until_in_force(operators, 1)
-        await operators[0].apply(1, 1, "a")
-        assert await until_in_force(operators, 2) < 0.1
+def test_an_accepted_file_is_active_within_milliseconds() -> None:
+    async def scenario(model, nodes) -> None:
+        await wait_until_active(nodes, 1)
+        await nodes[0].apply(1, 1, "a")
+        assert await wait_until_active(nodes, 2) < 0.1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_older_file_is_never_taken() -> None:
-    async def scenario(model, operators) -> None:
+def test_an_older_file_is_never_applied() -> None:
+    async def scenario(model, nodes) -> None:
         old = model.rows[HEAD].value
-        await operators[0].apply(1, 1, "a")
-        await until_in_force(operators, 2)
+        await nodes[0].apply(1, 1, "a")
+        await wait_until_active(nodes, 2)
         model.put(DECLARED_TABLE, "head", old)
         await asyncio.sleep(5.0)
-        assert {o.view.configuration.version for o in operators} == {2}
+        assert {n.view.configuration.version for n in nodes} == {2}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_unreadable_file_leaves_the_one_before_in_force() -> None:
-    async def scenario(model, operators) -> None:
-        await until_in_force(operators, 1)
+def test_a_malformed_file_leaves_the_previous_one_active() -> None:
+    async def scenario(model, nodes) -> None:
+        await wait_until_active(nodes, 1)
         model.put(DECLARED_TABLE, "head", b"noise")
         await asyncio.sleep(5.0)
-        assert {o.view.configuration.version for o in operators} == {1}
+        assert {n.view.configuration.version for n in nodes} == {1}
         with pytest.raises(DecodeError):
             decode_declared(b"noise")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_read_back_waits_for_a_revision_or_says_that_it_has_not_come() -> None:
-    async def scenario(model, operators) -> None:
-        waiting = asyncio.ensure_future(
-            operators[2].view.configuration.wait_for(2, 8.0)
-        )
-        await operators[0].apply(1, 1, "a")
+def test_wait_for_a_revision_reports_whether_it_became_active() -> None:
+    async def scenario(model, nodes) -> None:
+        waiting = asyncio.ensure_future(nodes[2].view.configuration.wait_for(2, 8.0))
+        await nodes[0].apply(1, 1, "a")
         assert await waiting
-        assert not await operators[2].view.configuration.wait_for(3, 1.0)
+        assert not await nodes[2].view.configuration.wait_for(3, 1.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_services_models_and_workspaces_are_those_of_the_file() -> None:
-    async def scenario(model, operators) -> None:
-        await until_in_force(operators, 1)
-        current = operators[0].view.configuration.current
+    async def scenario(model, nodes) -> None:
+        await wait_until_active(nodes, 1)
+        current = nodes[0].view.configuration.current
         (model_profile,) = current.services["a100"].engine.models
         assert model_profile.name == "estimator@2026-11"
         assert (model_profile.size, model_profile.wanted_groups) == (4, 2)
         assert current.services["yard-app"].engine is None
         assert len({w.name for w in current.workspace_by_key.values()}) == 10
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/config/tests/test_settings.py
+++ b/packages/config/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Validation of node settings."""
+
 from __future__ import annotations
 
 import json
@@ -5,7 +7,7 @@
 from fordhatch.config import Settings, hash_key
 from fordhatch.core import ResultCode
 
-GOOD = {
+VALID = {
     "node_name": "entry-1",
     "region": "gulf-south",
     "zone": "savannah-yard",
@@ -18,13 +20,13 @@
 
 
 def mistakes(**changes) -> set:
-    document = {k: v for k, v in {**GOOD, **changes}.items() if v is not None}
-    read = Settings.from_json(json.dumps(document).encode())
-    return {(m.path, m.code) for m in read.unwrap_err()}
+    document = {k: v for k, v in {**VALID, **changes}.items() if v is not None}
+    parsed = Settings.from_json(json.dumps(document).encode())
+    return {(m.path, m.code) for m in parsed.unwrap_err()}
 
 
-def test_good_settings_have_defaults() -> None:
-    settings = Settings.from_json(json.dumps(GOOD).encode()).unwrap()
+def test_valid_settings_have_defaults() -> None:
+    settings = Settings.from_json(json.dumps(VALID).encode()).unwrap()
     assert settings.timing.drain_limit_s > settings.timing.drain_grace_s
     node = settings.to_node_settings()
     assert (node.node_name, node.peer_address) == ("entry-1", "127.0.0.1:7003")
@@ -33,7 +35,7 @@
     assert str(settings.peers) == "127.0.0.1:7003"
 
 
-def test_every_mistake_is_named_with_its_path() -> None:
+def test_every_mistake_is_reported_with_its_path() -> None:
     found = mistakes(region=None, colour="red", zone="", callers={"host": "a"})
     assert found == {
         ("$", ResultCode.SETTING_MISSING),
@@ -43,7 +45,7 @@
     }
 
 
-def test_contradictions_are_named() -> None:
+def test_contradictions_are_reported() -> None:
     assert mistakes(timing={"drain_grace_s": 700.0}) == {
         ("$.timing.drain_grace_s", ResultCode.SETTING_INVALID)
     }
@@ -52,13 +54,13 @@
     }
 
 
-def test_what_is_not_json_is_refused() -> None:
-    read = Settings.from_json(b"{")
-    assert read.unwrap_err()[0].code is ResultCode.SETTINGS_UNREADABLE
+def test_invalid_json_is_refused() -> None:
+    parsed = Settings.from_json(b"{")
+    assert parsed.unwrap_err()[0].code is ResultCode.SETTINGS_UNREADABLE
 
 
-def test_operator_is_known_by_token_only() -> None:
-    settings = Settings.from_json(json.dumps(GOOD).encode()).unwrap()
+def test_operator_is_identified_by_token_only() -> None:
+    settings = Settings.from_json(json.dumps(VALID).encode()).unwrap()
     assert settings.operator_of("token") == "maria"
     assert settings.operator_of("") is None
-    assert settings.operator_of(GOOD["operator_tokens"]["maria"]) is None
+    assert settings.operator_of(VALID["operator_tokens"]["maria"]) is None
