--- a/packages/cli/src/fordhatch/cli/_client.py
+++ b/packages/cli/src/fordhatch/cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls on the operators' interface of a node."""
+"""Client of a node's operators' interface."""
 
 from __future__ import annotations
 
@@ -11,29 +11,33 @@
 from fordhatch.core import Failure, Ran, ResultCode
 
 TIMEOUT_S = 30.0
-"""Longest time for one call."""
+"""Timeout of one call."""
 
 
 @attrs.frozen
 class OperatorClient:
-    """Speaks to one node; any will do."""
+    """Calls one node's operators' interface; any node can answer."""
 
     url: str
     token: str
 
     async def get(self, path: str, **query: object) -> Result[dict[str, Any], Failure]:
-        """Read something back.
+        """Send a GET request.
 
         Args:
-            path: Such as ``/groups``.
+            path: Path of the resource, such as ``/groups``.
             **query: Query parameters.
+
+        Returns:
+            The decoded JSON body. A failure with ``ran`` maybe means that the
+            request may have been executed.
         """
         return await self._call("GET", path, query, None)
 
     async def put(
         self, path: str, content: bytes, **query: object
     ) -> Result[dict[str, Any], Failure]:
-        """Apply a file."""
+        """Send a PUT request with a file as its body."""
         return await self._call("PUT", path, query, content)
 
     async def _call(
@@ -41,12 +45,15 @@
     ) -> Result[dict[str, Any], Failure]:
         headers = {"Authorization": f"Bearer {self.token}"}
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
-        asked = {name: str(value) for name, value in query.items()}
+        query_params = {name: str(value) for name, value in query.items()}
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout, headers=headers) as session,
                 session.request(
-                    method, self.url.rstrip("/") + path, params=asked, data=content
+                    method,
+                    self.url.rstrip("/") + path,
+                    params=query_params,
+                    data=content,
                 ) as reply,
             ):
                 body = await reply.json()
--- a/packages/cli/src/fordhatch/cli/_explain.py
+++ b/packages/cli/src/fordhatch/cli/_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, out of collected log lines."""
+"""Explains the outcome of one request from the collected logs of all nodes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
-RELATED_S = 6.0
-"""Events of the same group or backend server within this time before a send failed
-are shown: detection, decision and healing of a lost group take up to this long."""
+RELATED_WINDOW_S = 6.0
+"""Events of the same group or backend server within this time of a failed send are
+shown: detection, decision and recovery of a lost group take up to this long."""
 
 RELATED_EVENTS = frozenset(
     (
@@ -25,7 +25,7 @@
         "order_sent",
     )
 )
-"""Events that may be the cause of a failed send."""
+"""Events that may have caused a failed send."""
 
 NODE_EVENTS = frozenset(
     (
@@ -39,9 +39,9 @@
         "store_regained",
     )
 )
-"""Events of a node that explain why it refused or broke off."""
+"""Node events that may explain why a node refused or aborted a request."""
 
-_ADVICE = {
+_ADVICE_BY_OUTCOME = {
     "no_group_ready": "no group of the model was open on that node's view; look for "
     "group_dissolving and group_opened of the model around that time",
     "configuration_stale": "the node could not confirm its configuration; look for "
@@ -58,18 +58,18 @@
     "unauthenticated": "the API key was not in the configuration of that version",
     "not_found": "no route of that version matched",
 }
-"""Where to look next, by the outcome of a request."""
+"""Advice for further diagnosis, by the outcome of a request."""
 
 
 @attrs.frozen
 class LogLine:
-    """One event as it was logged."""
+    """One logged event."""
 
     fields: dict[str, str]
 
     @classmethod
     def parse(cls, text: str) -> LogLine | None:
-        """Return the event in a line; None where there is none."""
+        """Return the event in a line, or None if it has none."""
         start = text.find("time=")
         if start < 0 or "event=" not in text:
             return None
@@ -83,16 +83,16 @@
 
     @property
     def time(self) -> str:
-        """Time of day on the node that logged it."""
+        """Timestamp from the clock of the node that logged the event."""
         return self.fields.get("time", "")
 
     @property
     def node(self) -> str:
-        """The node that logged it."""
+        """Name of the node that logged the event."""
         return self.fields.get("node", "")
 
     def seconds(self) -> float:
-        """Return the time of day as seconds within its day."""
+        """Return the seconds since midnight, or 0 if the timestamp is malformed."""
         clock = self.time.partition("T")[2].rstrip("Z")
         try:
             hours, minutes, seconds = clock.split(":")
@@ -120,32 +120,32 @@
 
 @attrs.frozen
 class Explanation:
-    """What the logs say of one request."""
+    """The logged history of one request."""
 
     request_id: str
-    own: list[LogLine]
-    """The request's own events, in order."""
+    request_events: list[LogLine]
+    """Events of the request itself, in time order."""
     related: list[LogLine]
-    """Events that may have caused its failed sends."""
+    """Events that may have caused the request's failed sends."""
     node: list[LogLine]
-    """What had happened to the node that served it."""
+    """Events of the nodes that handled the request."""
     outcome: str
     advice: str
 
     def to_json(self) -> dict[str, object]:
-        """Return it for programs."""
+        """Return the explanation as JSON data."""
         return {
             "request": self.request_id,
             "outcome": self.outcome,
             "advice": self.advice,
-            "events": [line.fields for line in self.own],
+            "events": [line.fields for line in self.request_events],
             "related": [line.fields for line in self.related],
             "node": [line.fields for line in self.node],
         }
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the events in lines of text."""
+    """Yield the events in lines of text; other lines are skipped."""
     for text in texts:
         line = LogLine.parse(text)
         if line is not None:
@@ -153,71 +153,77 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> Explanation | None:
-    """Return what the logs say of a request, or None where they don't know it.
+    """Return the explanation of a request, or None if the logs have no event of it.
 
     Args:
-        request_id: The id that the caller's try had.
-        lines: Events of every node, in any order.
+        request_id: Identifier of the caller's attempt.
+        lines: Events of all nodes, in any order.
     """
-    every = sorted(lines, key=lambda line: line.time)
-    own = [line for line in every if line.fields.get("request") == request_id]
-    if not own:
+    all_lines = sorted(lines, key=lambda line: line.time)
+    request_events = [
+        line for line in all_lines if line.fields.get("request") == request_id
+    ]
+    if not request_events:
         return None
-    outcomes = [line.fields["outcome"] for line in own if "outcome" in line.fields]
+    outcomes = [
+        line.fields["outcome"] for line in request_events if "outcome" in line.fields
+    ]
     outcome = outcomes[-1] if outcomes else "unknown"
     return Explanation(
         request_id,
-        own,
-        _related(own, every),
-        _of_node(own, every),
+        request_events,
+        _related(request_events, all_lines),
+        _node_events(request_events, all_lines),
         outcome,
-        _ADVICE.get(outcome, ""),
+        _ADVICE_BY_OUTCOME.get(outcome, ""),
     )
 
 
-def _related(own: list[LogLine], every: list[LogLine]) -> list[LogLine]:
-    failed = [line for line in own if line.event == "send_failed"]
+def _related(request_events: list[LogLine], all_lines: list[LogLine]) -> list[LogLine]:
+    failed = [line for line in request_events if line.event == "send_failed"]
     related = [
         line
-        for line in every
-        if line.event in RELATED_EVENTS and any(_touches(line, f) for f in failed)
+        for line in all_lines
+        if line.event in RELATED_EVENTS and any(_concerns(line, f) for f in failed)
     ]
     return _merged(related)
 
 
 def _merged(lines: list[LogLine]) -> list[LogLine]:
-    """Return each fact once, with the number of nodes that logged it."""
+    """Return each distinct event once, with the number of nodes that logged it."""
     first: dict[tuple[tuple[str, str], ...], LogLine] = {}
     nodes: dict[tuple[tuple[str, str], ...], set[str]] = {}
     for line in lines:
-        facts = tuple(
+        event_key = tuple(
             (name, value)
             for name, value in line.fields.items()
             if name not in ("time", "node")
         )
-        first.setdefault(facts, line)
-        nodes.setdefault(facts, set()).add(line.node)
+        first.setdefault(event_key, line)
+        nodes.setdefault(event_key, set()).add(line.node)
     return [
-        LogLine({**line.fields, "seen_by_nodes": str(len(nodes[facts]))})
-        for facts, line in first.items()
+        LogLine({**line.fields, "seen_by_nodes": str(len(nodes[event_key]))})
+        for event_key, line in first.items()
     ]
 
 
-def _touches(line: LogLine, failed: LogLine) -> bool:
+def _concerns(line: LogLine, failed: LogLine) -> bool:
     names = {failed.fields.get("backend"), failed.fields.get("group")} - {None, ""}
     mentioned = {line.fields.get(n) for n in ("backend", "group", "head")}
     return bool(names & mentioned) and _is_near(line, failed)
 
 
 def _is_near(line: LogLine, other: LogLine) -> bool:
-    return abs(line.seconds() - other.seconds()) <= RELATED_S
+    return abs(line.seconds() - other.seconds()) <= RELATED_WINDOW_S
 
 
-def _of_node(own: list[LogLine], every: list[LogLine]) -> list[LogLine]:
-    nodes = {line.node for line in own}
-    last = own[-1]
+def _node_events(
+    request_events: list[LogLine], all_lines: list[LogLine]
+) -> list[LogLine]:
+    nodes = {line.node for line in request_events}
+    last = request_events[-1]
     return [
         line
-        for line in every
+        for line in all_lines
         if line.event in NODE_EVENTS and line.node in nodes and _is_near(line, last)
     ]
--- a/packages/cli/src/fordhatch/cli/_losses.py
+++ b/packages/cli/src/fordhatch/cli/_losses.py
@@ -1,4 +1,4 @@
-"""Which requests were lost or late, and why, out of collected log lines."""
+"""Finds lost and late requests and their causes in collected logs."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 from ._explain import LogLine
 
-SHORT_WAIT_S = 0.06
-"""A request that was sent later than this after its arrival has waited for something:
-for a group to open, or for a node that had just started to know its tables."""
+SEND_WAIT_THRESHOLD_S = 0.06
+"""A request sent later than this after its arrival has waited: for a group to open,
+or for a node that had just started to read its tables."""
 
-QUEUE = 3
-"""So many other requests of one node at a backend server explain a late first event;
-usual loads have one or two."""
+MIN_QUEUED_REQUESTS = 3
+"""Other requests of a node at a backend server from which on a queue explains a late
+first event; at normal load there are one or two."""
 
-FINAL = {
+CAUSE_BY_OUTCOME = {
     "aborted": "stream broken off",
     "backend_lost": "lost at the backend server",
     "backend_refused": "no backend server took it",
@@ -30,15 +30,15 @@
     "request_quarantined": "ends backend servers",
     "shutting_down": "node about to end",
 }
-"""Causes of requests that were not served, by outcome; others are not losses."""
+"""Causes of unserved requests, by outcome; other outcomes are not losses."""
 
 MAY_HAVE_RUN = ("aborted", "backend_lost", "deadline_exceeded")
-"""Outcomes of requests that a backend server may have run."""
+"""Outcomes of failed requests that a backend server may have run."""
 
-SERVER_ERROR = "status_5"
-"""Begins the outcome of a request whose answer was a backend server's own error."""
+SERVER_ERROR_PREFIX = "status_5"
+"""Prefix of the outcome of a request answered by a backend server's own error."""
 
-SEND_PROBLEMS = {
+CAUSE_BY_PROBLEM = {
     "silent": "group or server silent",
     "broken": "no proper answer",
     "connection_lost": "run broke",
@@ -48,65 +48,73 @@
     "other_backend": "another server at the address",
     "error_status": "error of the backend server",
 }
-"""Causes of requests that were served late after a failed send, by its problem."""
+"""Causes of late answers after a failed send, by the problem of the send."""
 
-DENIED = ("unauthenticated", "not_found", "bad_request", "body_too_large")
-"""Outcomes that callers owe to themselves."""
+CALLER_ERRORS = ("unauthenticated", "not_found", "bad_request", "body_too_large")
+"""Outcomes caused by the caller's own error; they are not counted."""
 
 
-class Fate(StrEnum):
-    """What became of a request that was not served in time."""
+class LossKind(StrEnum):
+    """Classes of requests that were not served in time."""
 
     REFUSED = "refused"
-    """Nobody has run it."""
+    """No backend server has run it."""
     FAILED = "failed"
-    """It may have run, and its caller has no whole answer."""
+    """It may have run, and its caller has no complete answer."""
     LATE = "late"
-    """Its caller has the whole answer, after the goal or with too long a pause."""
+    """Its caller has the complete answer, after the latency objective or with too long
+    a pause."""
 
 
 @attrs.frozen
 class Loss:
-    """One request that was not served, or late."""
+    """One request that was not served or was served late."""
 
     request_id: str
-    fate: Fate
+    kind: LossKind
     cause: str
     route: str
     workspace: str
     second: int
-    """Of the day, of the clock of the node that logged it."""
+    """Second of the day, from the clock of the node that logged the request."""
 
 
 @attrs.define(eq=False, repr=False)
-class _Seen:
-    """What the logs say of one request."""
+class _RequestEvents:
+    """The logged events of one request that decide its classification."""
 
     problems: list[str] = attrs.field(factory=list)
-    is_out_of_budget: bool = False
+    is_retry_budget_spent: bool = False
     done: LogLine | None = None
     refused: LogLine | None = None
 
 
 @attrs.define(eq=False, repr=False)
 class Losses:
-    """All losses in a collection of logs."""
+    """All losses found in a set of logs."""
 
     losses: list[Loss] = attrs.field(factory=list)
     requests: int = 0
-    """Requests that the logs know the end of, without those of callers' own making."""
+    """Requests with a logged outcome, except those with a caller's error."""
     foreign_lines: int = 0
-    """Lines that are no events of a node."""
+    """Lines that are not events of a node."""
 
     def by(self, key: Callable[[Loss], object]) -> list[tuple[object, Counter[str]]]:
-        """Return fates counted by a property of the losses, the most frequent first."""
+        """Return the counts of each kind, grouped by a property of the losses.
+
+        Args:
+            key: Returns the property of a loss.
+
+        Returns:
+            Values of the property with their counts, the most frequent first.
+        """
         found: dict[object, Counter[str]] = {}
         for loss in self.losses:
-            found.setdefault(key(loss), Counter())[loss.fate] += 1
+            found.setdefault(key(loss), Counter())[loss.kind] += 1
         return sorted(found.items(), key=lambda item: -item[1].total())
 
     def to_json(self) -> dict[str, object]:
-        """Return it for programs."""
+        """Return the counts as JSON data."""
         return {
             "requests": self.requests,
             "foreign_lines": self.foreign_lines,
@@ -124,13 +132,13 @@
     "workspace": lambda loss: loss.workspace,
     "second": lambda loss: loss.second,
 }
-"""The tables that are shown, with what each counts by."""
+"""Tables to show, by name, with the property that each groups by."""
 
 
 def find_losses(texts: Iterable[str]) -> Losses:
-    """Return the losses in lines of log, in any order."""
+    """Return the losses in log lines, which may be in any order."""
     found = Losses()
-    seen: dict[str, _Seen] = {}
+    events_by_request: dict[str, _RequestEvents] = {}
     for text in texts:
         line = LogLine.parse(text)
         if line is None:
@@ -138,40 +146,44 @@
             continue
         request_id = line.fields.get("request")
         if request_id:
-            _take(seen.setdefault(request_id, _Seen()), line)
-    for request_id, one in seen.items():
-        _judge(found, request_id, one)
+            _record_event(
+                events_by_request.setdefault(request_id, _RequestEvents()), line
+            )
+    for request_id, events in events_by_request.items():
+        _classify(found, request_id, events)
     return found
 
 
-def _take(one: _Seen, line: LogLine) -> None:
+def _record_event(events: _RequestEvents, line: LogLine) -> None:
     match line.event:
         case "send_failed":
-            one.problems.append(line.fields.get("problem", ""))
+            events.problems.append(line.fields.get("problem", ""))
         case "budget_spent":
-            one.is_out_of_budget = True
+            events.is_retry_budget_spent = True
         case "request_done":
-            one.done = line
+            events.done = line
         case "request_refused":
-            one.refused = line
+            events.refused = line
 
 
-def _judge(found: Losses, request_id: str, one: _Seen) -> None:
-    line = one.done or one.refused
+def _classify(found: Losses, request_id: str, events: _RequestEvents) -> None:
+    line = events.done or events.refused
     if line is None:
         return
     outcome = line.fields.get("outcome") or line.fields.get("code", "").lower()
-    if outcome in DENIED:
+    if outcome in CALLER_ERRORS:
         return
     found.requests += 1
-    fate = _fate(outcome, line)
-    if fate is None:
+    kind = _kind(outcome, line)
+    if kind is None:
         return
     found.losses.append(
         Loss(
             request_id,
-            fate,
-            _late_cause(one, line) if fate is Fate.LATE else _cause(outcome, one),
+            kind,
+            _late_cause(events, line)
+            if kind is LossKind.LATE
+            else _cause(outcome, events),
             line.fields.get("route", ""),
             line.fields.get("workspace", ""),
             int(line.seconds()),
@@ -179,37 +191,37 @@
     )
 
 
-def _fate(outcome: str, line: LogLine) -> Fate | None:
-    """Return what became of a request, None if nothing is wrong."""
-    if outcome in MAY_HAVE_RUN or outcome.startswith(SERVER_ERROR):
-        return Fate.FAILED
-    if outcome in FINAL:
-        return Fate.REFUSED
-    return Fate.LATE if "goal_s" in line.fields else None
+def _kind(outcome: str, line: LogLine) -> LossKind | None:
+    """Return the class of a loss, or None if the request was served in time."""
+    if outcome in MAY_HAVE_RUN or outcome.startswith(SERVER_ERROR_PREFIX):
+        return LossKind.FAILED
+    if outcome in CAUSE_BY_OUTCOME:
+        return LossKind.REFUSED
+    return LossKind.LATE if "goal_s" in line.fields else None
 
 
-def _cause(outcome: str, one: _Seen) -> str:
+def _cause(outcome: str, events: _RequestEvents) -> str:
     """Return why a request was not served."""
-    cause = FINAL.get(outcome, SEND_PROBLEMS["error_status"])
-    if one.is_out_of_budget:
+    cause = CAUSE_BY_OUTCOME.get(outcome, CAUSE_BY_PROBLEM["error_status"])
+    if events.is_retry_budget_spent:
         return f"{cause}, budget for repeats spent"
     return cause
 
 
-def _late_cause(one: _Seen, line: LogLine) -> str:
-    problems = [p for p in one.problems if p in SEND_PROBLEMS]
+def _late_cause(events: _RequestEvents, line: LogLine) -> str:
+    problems = [p for p in events.problems if p in CAUSE_BY_PROBLEM]
     if problems:
-        return SEND_PROBLEMS[problems[0]]
-    if _number(line, "sent_s") > SHORT_WAIT_S:
+        return CAUSE_BY_PROBLEM[problems[0]]
+    if _number(line, "sent_s") > SEND_WAIT_THRESHOLD_S:
         return "waited before the first send"
     if _number(line, "first_s") > _number(line, "goal_s"):
-        crowded = _number(line, "in_flight") >= QUEUE
-        return "queue at the backend server" if crowded else "slow to the first event"
+        is_queued = _number(line, "in_flight") >= MIN_QUEUED_REQUESTS
+        return "queue at the backend server" if is_queued else "slow to the first event"
     return "slow between events"
 
 
 def _number(line: LogLine, name: str) -> float:
-    """Return a field as a number; 0 where it says nothing."""
+    """Return a field as a number, or 0 if it is absent or malformed."""
     try:
         return float(line.fields.get(name, ""))
     except ValueError:
--- a/packages/cli/src/fordhatch/cli/_losses_plot.py
+++ b/packages/cli/src/fordhatch/cli/_losses_plot.py
@@ -1,4 +1,4 @@
-"""Draws losses by cause over time."""
+"""Plot of losses by cause over time."""
 
 from __future__ import annotations
 
@@ -13,23 +13,30 @@
 
 from matplotlib import pyplot as plt
 
-MOST_CAUSES = 8
-"""Causes with a colour of their own; the others are drawn together."""
+MAX_CAUSES = 8
+"""Maximal number of causes drawn separately; the remaining ones share one colour."""
 
 
 def plot_losses(found: Losses, path: Path) -> None:
-    """Draw the losses of each second, by cause, into a picture."""
+    """Write a stacked bar chart of the losses per second, by cause.
+
+    Args:
+        found: The losses.
+        path: The image file to write.
+    """
     figure, axis = plt.subplots(figsize=(11, 4.5), layout="constrained")
     first = min((loss.second for loss in found.losses), default=0)
     last = max((loss.second for loss in found.losses), default=0)
     seconds = list(range(first, last + 1))
-    named = [str(cause) for cause, _ in found.by(lambda loss: loss.cause)][:MOST_CAUSES]
+    shown_causes = [str(cause) for cause, _ in found.by(lambda loss: loss.cause)][
+        :MAX_CAUSES
+    ]
     bottom = [0] * len(seconds)
-    for cause in (*named, "other"):
+    for cause in (*shown_causes, "other"):
         counts = Counter(
             loss.second
             for loss in found.losses
-            if (loss.cause if loss.cause in named else "other") == cause
+            if (loss.cause if loss.cause in shown_causes else "other") == cause
         )
         heights = [counts[second] for second in seconds]
         axis.bar([s - first for s in seconds], heights, bottom=bottom, label=cause)
--- a/packages/cli/src/fordhatch/cli/_table.py
+++ b/packages/cli/src/fordhatch/cli/_table.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for programs."""
+"""Output as tables and as JSON."""
 
 from __future__ import annotations
 
--- a/packages/cli/src/fordhatch/cli/main.py
+++ b/packages/cli/src/fordhatch/cli/main.py
@@ -1,8 +1,8 @@
 """``fordhatch``: the operators' command line.
 
-Exit status: 0 done, 1 the file has mistakes, 2 wrong usage, 3 another operator's
-file was accepted first, 4 a node or the platform could not be reached or refused,
-5 the outcome is not known (repeat the same command).
+Exit status: 0 success, 1 mistakes in a file, 2 wrong usage, 3 conflict with another
+operator's file that was accepted first, 4 a node or the platform is unreachable or
+refused the call, 5 unknown outcome (retry the same command).
 """
 
 from __future__ import annotations
@@ -97,7 +97,7 @@
 """Columns of each table."""
 
 
-def _run(work: Coroutine[Any, Any, Result[T, Failure]]) -> T:
+def _run_call(work: Coroutine[Any, Any, Result[T, Failure]]) -> T:
     done = asyncio.run(work)
     if done.is_err():
         _fail(done.unwrap_err())
@@ -126,7 +126,7 @@
 
 
 def _check(path: Path) -> bytes:
-    """Return a file's bytes, or end with all its mistakes."""
+    """Return the bytes of a valid file; print all mistakes and exit otherwise."""
     content = _read_file(path)
     read = OperatorsFile.from_json(content)
     if read.is_err():
@@ -160,9 +160,9 @@
 def diff(file: Path, *, url: Url = DEFAULT_URL, token: Token = "") -> None:
     """Show what applying a file would change."""
     content = _check(file)
-    now = _run(OperatorClient(url, token).get("/config"))
-    lines = describe_changes(now["config"], json.loads(content))
-    print(f"base revision {now['revision']}, {len(lines)} changes")
+    active = _run_call(OperatorClient(url, token).get("/config"))
+    lines = describe_changes(active["config"], json.loads(content))
+    print(f"base revision {active['revision']}, {len(lines)} changes")
     for line in lines:
         print(line)
 
@@ -192,9 +192,9 @@
     content = _check(file)
     client = OperatorClient(url, token)
     if base is None:
-        base = _run(client.get("/config"))["revision"]
+        base = _run_call(client.get("/config"))["revision"]
     name = apply_id or f"apply-{os.urandom(10).hex()}"
-    done = _run(client.put("/config", content, base_revision=base, apply_id=name))
+    done = _run_call(client.put("/config", content, base_revision=base, apply_id=name))
     if output == "json":
         print_json(done)
         return
@@ -220,7 +220,7 @@
         Wait until at least this revision is in force on the node asked.
     """
     client = OperatorClient(url, token)
-    found = _run(client.get(f"/{what}", min_revision=min_revision))
+    found = _run_call(client.get(f"/{what}", min_revision=min_revision))
     if output == "json" or what == "config":
         print_json(found)
         return
@@ -237,7 +237,7 @@
     records: list[dict[str, Any]] = []
     after = ""
     while True:
-        page = _run(client.get("/audit", after=after))
+        page = _run_call(client.get("/audit", after=after))
         records.extend(page["audit"])
         after = page["next"]
         if not after:
@@ -276,7 +276,7 @@
         return
     print(f"request {request_id}: {found.outcome}")
     for title, events in (
-        ("its own events", found.own),
+        ("its own events", found.request_events),
         (
             "what happened to the groups and backend servers it was sent to",
             found.related,
@@ -347,7 +347,7 @@
 ) -> None:
     """Show on how many nodes the declared state is in force, and what serves."""
     client = OperatorClient(url, token)
-    found = _run(client.get("/status", min_revision=min_revision))
+    found = _run_call(client.get("/status", min_revision=min_revision))
     if output == "json":
         print_json(found)
         return
--- a/packages/cli/tests/test_command_line.py
+++ b/packages/cli/tests/test_command_line.py
@@ -1,3 +1,5 @@
+"""The operators' commands, run as processes."""
+
 from __future__ import annotations
 
 import json
@@ -11,9 +13,9 @@
 FORDHATCH = Path(sys.executable).parent / "fordhatch"
 
 
-def run(*words: str, text: str = "") -> subprocess.CompletedProcess[str]:
+def run(*args: str, text: str = "") -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [FORDHATCH, *words], input=text, capture_output=True, text=True, check=False
+        [FORDHATCH, *args], input=text, capture_output=True, text=True, check=False
     )
 
 
@@ -24,7 +26,7 @@
     assert "valid" in done.stdout
 
 
-def test_three_mistakes_are_all_named(tmp_path: Path) -> None:
+def test_validate_reports_all_mistakes(tmp_path: Path) -> None:
     document = json.loads((EXAMPLES / "pruitt.json").read_text())
     document["surprise"] = 1
     document["model_services"][0]["groups"] = "many"
@@ -45,7 +47,7 @@
     assert "ran=no" in done.stderr
 
 
-def test_schema_is_json_and_key_hash_is_what_files_hold() -> None:
+def test_schema_is_json_and_hash_key_prints_the_form_used_in_files() -> None:
     assert json.loads(run("schema").stdout)["title"]
     hashed = run("hash-key", text="savannah-depot-example-key\n").stdout.strip()
     assert hashed in (EXAMPLES / "pruitt.json").read_text()
--- a/packages/cli/tests/test_explain.py
+++ b/packages/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause."""
+"""Explanation of a request from the logs of several nodes."""
 
 from __future__ import annotations
 
@@ -26,22 +26,25 @@
 """
 
 
-def test_what_a_request_met_is_found_on_every_node() -> None:
+def test_related_events_are_collected_from_all_nodes() -> None:
     found = explain("r1", read_lines(LOG.splitlines()))
-    assert [line.event for line in found.own] == ["send_failed", "request_done"]
+    assert [line.event for line in found.request_events] == [
+        "send_failed",
+        "request_done",
+    ]
     assert [line.event for line in found.related] == [
         "group_silent",
         "group_dissolving",
     ]
     assert found.related[1].fields["reason"] == 'a "b"'
-    # Two nodes have logged the same: it is one fact.
+    # Two nodes logged the same event: it is shown once.
     assert [line.fields["seen_by_nodes"] for line in found.related] == ["1", "2"]
     assert [line.event for line in found.node] == ["relay_failed"]
     assert found.outcome == "backend_lost"
     assert "may have run" in found.advice
 
 
-def test_a_request_that_nobody_knows_is_said_to_be_unknown() -> None:
+def test_an_unlogged_request_has_no_explanation() -> None:
     assert explain("r3", read_lines(LOG.splitlines())) is None
 
 
--- a/packages/cli/tests/test_losses.py
+++ b/packages/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Lost and late requests, by cause."""
+"""Classification of lost and late requests by cause."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "fate", "cause"),
+    ("lines", "kind", "cause"),
     [
         ([done("r", "outcome=complete")], "", ""),
         ([done("r", "outcome=status_200")], "", ""),
@@ -70,14 +70,14 @@
         ),
     ],
 )  # fmt: skip
-def test_each_loss_has_its_cause(lines: list[str], fate: str, cause: str) -> None:
+def test_each_loss_has_its_cause(lines: list[str], kind: str, cause: str) -> None:
     found = find_losses(lines).losses
-    assert [(loss.fate, loss.cause) for loss in found] == (
-        [(fate, cause)] if fate else []
+    assert [(loss.kind, loss.cause) for loss in found] == (
+        [(kind, cause)] if kind else []
     )
 
 
-def test_damaged_and_foreign_lines_are_counted_and_said() -> None:
+def test_damaged_and_foreign_lines_are_counted() -> None:
     lines = [
         "Traceback (most recent call last):",
         'time= event=request_done request=r1 outcome="no_group_ready',
@@ -91,7 +91,7 @@
     assert found.requests == 2
 
 
-def test_the_command_prints_tables_json_and_a_picture(tmp_path: Path) -> None:
+def test_the_command_writes_tables_json_and_a_plot(tmp_path: Path) -> None:
     log = tmp_path / "node.log"
     log.write_text(
         "\n".join([late("r1", 0, 5, 0.5, 0), done("r2", "outcome=complete")])
@@ -107,10 +107,10 @@
         str(picture),
     ]
     shown = subprocess.run(command, capture_output=True, text=True, check=True).stdout
-    told = json.loads(shown)
-    assert (told["requests"], told["losses"]) == (2, 1)
-    assert told["cause"] == [{"cause": "queue at the backend server", "late": 1}]
-    assert told["workspace"] == [{"workspace": "w1", "late": 1}]
+    report = json.loads(shown)
+    assert (report["requests"], report["losses"]) == (2, 1)
+    assert report["cause"] == [{"cause": "queue at the backend server", "late": 1}]
+    assert report["workspace"] == [{"workspace": "w1", "late": 1}]
     assert picture.read_bytes().startswith(b"\x89PNG")
     table = subprocess.run(
         command[:3], capture_output=True, text=True, check=True
--- a/packages/config/src/fordhatch/config/_settings.py
+++ b/packages/config/src/fordhatch/config/_settings.py
@@ -46,9 +46,9 @@
     max_body_bytes: int = 2 * 1024 * 1024
     """Maximal size of a request body."""
     default_timeout_s: float = 60.0
-    """Time-out of a request that sets none."""
+    """Timeout of a request that sets none."""
     max_timeout_s: float = 600.0
-    """Longest time-out that a caller may request."""
+    """Longest timeout that a caller may request."""
     claim_expiry_s: float = 86400.0
     """Time for which an idempotency key is kept."""
     row_bytes: int = 65536
