--- a/bench/own_guards.py
+++ b/bench/own_guards.py
@@ -15,14 +15,14 @@
         "chat/_chat_server.py",
         "            if asked.idempotency_key:\n",
         "            if False:\n",
-        f"{ONCE} -k repeats_at_the_same_time",
+        f"{ONCE} -k concurrent_retries",
     ),
     Guard(
         "a claim is written only where there is none",
         "chat/_claims.py",
         "            {key.row_key: ABSENT},\n",
         "            {},\n",
-        f"{ONCE} -k repeats_at_the_same_time",
+        f"{ONCE} -k concurrent_retries",
     ),
     Guard(
         "a claim's request digest is compared",
--- a/bench/store_guards.py
+++ b/bench/store_guards.py
@@ -142,6 +142,6 @@
         "registry/_followers.py",
         "                keeper.write(configuration.lost(update), operators.copy)\n",
         "                pass\n",
-        f"{CLAIMS} -k file_that",
+        f"{CLAIMS} -k file_lost",
     ),
 ]
--- a/packages/daemon/src/fordhatch/daemon/__init__.py
+++ b/packages/daemon/src/fordhatch/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon of fordhatch's own interface."""
+"""The daemon that serves callers and operators over HTTP."""
 
 from __future__ import annotations
 
--- a/packages/daemon/src/fordhatch/daemon/_daemon.py
+++ b/packages/daemon/src/fordhatch/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""A node with fordhatch's own edges: its callers and its operators."""
+"""A node with the HTTP interfaces for its callers and its operators."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from fordhatch.operators import OperatorsApp
 from fordhatch.serving import HttpServer
 
-CLEAN_INTERVAL_S = 10.0
-"""Time between passes of the claim cleaner, on the planner's node."""
+CLAIM_CLEANUP_INTERVAL_S = 10.0
+"""Time between two runs of the claim clean-up, on the planner's node only."""
 
 
 @attrs.define(eq=False, repr=False)
 class Daemon:
-    """A node and its two HTTP interfaces."""
+    """A node and its HTTP interfaces for callers and operators."""
 
     settings: Settings
     node: Node
@@ -31,7 +31,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> Daemon:
-        """Build a daemon that has not been started; a running loop is needed."""
+        """Build a daemon without starting it; requires a running event loop."""
         node_settings = settings.to_node_settings()
         timer = Timer.from_seed(settings.node_name)
         clients = Clients.from_settings(node_settings, timer)
@@ -39,12 +39,13 @@
 
     @classmethod
     def from_clients(cls, settings: Settings, timer: Timer, clients: Clients) -> Daemon:
-        """Build a daemon on clients of one's own.
+        """Build a daemon on given clients, without starting it.
 
         Args:
-            settings: The checked settings.
-            timer: The process's timer.
-            clients: How the node reaches others; closed with the daemon.
+            settings: The validated settings.
+            timer: The timer that every part of the process uses.
+            clients: Clients for the store, the backend servers and the other nodes;
+                closed with the daemon.
         """
         node = Node.create(settings.to_node_settings(), timer, clients, DECLARED_ROW)
         claims = ClaimService(
@@ -62,19 +63,23 @@
         return cls(settings, node, claims, callers, operators)
 
     async def start(self) -> None:
-        """Start the node's parts; nothing listens yet."""
+        """Start the node and the background tasks, without listening for requests."""
         await self.node.start()
-        clean = self.node.timer.every(CLEAN_INTERVAL_S, self._clean, name="clean")
-        self._tasks.spawn(clean, "clean")
-        keep = self.node.timer.keep(self.claims.kept.run, name="kept-claims")
-        self._tasks.spawn(keep, "kept-claims")
+        cleanup_loop = self.node.timer.every(
+            CLAIM_CLEANUP_INTERVAL_S, self._clean_claims, name="clean"
+        )
+        self._tasks.spawn(cleanup_loop, "clean")
+        kept_claims_loop = self.node.timer.keep(
+            self.claims.kept.run, name="kept-claims"
+        )
+        self._tasks.spawn(kept_claims_loop, "kept-claims")
 
-    async def _clean(self) -> None:
+    async def _clean_claims(self) -> None:
         if self.node.lease.is_held():
             await self.claims.clean()
 
     async def run(self) -> None:
-        """Serve until a signal to stop arrives, then drain."""
+        """Serve until a stop signal arrives, then drain and close."""
         stop = stop_event()
         await self.start()
         operators = await _listen(self.operators.app, self.settings.operators)
@@ -91,7 +96,7 @@
         await close_in_time(callers.close, self.close)
 
     async def close(self) -> None:
-        """End every part."""
+        """Stop the background tasks, the claim service and the node."""
         await self._tasks.close()
         await self.claims.close()
         await self.node.close()
--- a/packages/daemon/src/fordhatch/daemon/main.py
+++ b/packages/daemon/src/fordhatch/daemon/main.py
@@ -15,39 +15,39 @@
 app = App(name="fordhatchd", help="Serve callers in front of replica groups.")
 
 EXIT_BAD_SETTINGS = 2
-"""Exit status where the settings have mistakes."""
+"""Exit status if the settings can't be read or are invalid."""
 
 
 @app.default
 def run(settings: Path) -> None:
-    """Run a node until it is told to stop with SIGTERM.
+    """Run a node until it receives SIGTERM.
 
     Parameters
     ----------
     settings
-        File with the node's settings, in JSON.
+        JSON file with the node's settings.
     """
     try:
         content = settings.read_bytes()
     except OSError as error:
         print(f"fordhatchd: {error}", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
-    read = Settings.from_json(content)
-    if read.is_err():
-        for mistake in read.unwrap_err():
-            print(f"fordhatchd: {settings}: {mistake}", file=sys.stderr)
+    parsed = Settings.from_json(content)
+    if parsed.is_err():
+        for problem in parsed.unwrap_err():
+            print(f"fordhatchd: {settings}: {problem}", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
-    checked = read.unwrap()
+    valid_settings = parsed.unwrap()
 
-    async def life() -> None:
-        await Daemon.from_settings(checked).run()
+    async def serve() -> None:
+        await Daemon.from_settings(valid_settings).run()
 
-    run_logged(checked.node_name, life)
+    run_logged(valid_settings.node_name, serve)
 
 
 @app.command
 def on_platform() -> None:
-    """Run a node with the settings file that the platform names."""
+    """Run a node with the settings file that the platform specifies."""
     run_on_platform()
 
 
--- a/packages/daemon/tests/own_site.py
+++ b/packages/daemon/tests/in_process_site.py
@@ -1,4 +1,4 @@
-"""Daemons in one process: real HTTP for callers, everything behind them in memory."""
+"""Daemons in one process for tests, with HTTP for callers and in-memory stand-ins."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 
 EXAMPLE = Path(__file__).parents[3] / "examples" / "pruitt.json"
 API_KEY = "savannah-depot-example-key"
-OTHER_KEY = "houston-depot-example-key"
+OTHER_API_KEY = "houston-depot-example-key"
 MODEL = "estimator@2026-11"
-BILL = "/services/yard/billing/17"
+BILLING_PATH = "/services/yard/billing/17"
 ZONES = ("mobile-yard", "savannah-yard", "houston-yard")
 WAIT_LIMIT_S = 20.0
 
 
 def declared(groups: int = 2, **service: Any) -> dict[str, Any]:
-    """Return the example file with a few quick groups."""
+    """Return the example file with a few groups and short load and formation times."""
     document = json.loads(EXAMPLE.read_text())
     document["model_services"][0].update({"groups": groups, **service})
     accelerator = document["accelerators"][0]
@@ -54,7 +54,7 @@
 
 
 def settings(index: int) -> Settings:
-    """Return the settings of a node."""
+    """Return the settings of the node with the given index."""
     document = {
         "node_name": f"node-{index}",
         "region": "gulf-south",
@@ -69,8 +69,8 @@
 
 
 @attrs.define(eq=False, repr=False)
-class OwnNode:
-    """A daemon with its callers' listener."""
+class InProcessNode:
+    """A daemon, its in-memory clients and the HTTP server for its callers."""
 
     daemon: Daemon
     store: MemoryStoreClient
@@ -82,7 +82,7 @@
         return self.daemon.settings.node_name
 
     async def kill(self) -> None:
-        """End without a word: nothing is handed over or settled."""
+        """Simulate a crash: the node hands nothing over and completes no claim."""
         self.store.is_frozen = True
         await self.daemon.claims._tasks.close()
         await self.server.close()
@@ -90,8 +90,8 @@
 
 
 @attrs.frozen
-class Got:
-    """An answer as its caller has it."""
+class Response:
+    """A complete HTTP response as the caller receives it."""
 
     status: int
     headers: dict[str, str]
@@ -107,19 +107,19 @@
 
 
 @attrs.define(eq=False, repr=False)
-class OwnSite:
-    """A few daemons, engines of one domain and one plain service."""
+class InProcessSite:
+    """Several daemons, engines of one fabric domain and one plain service."""
 
     model: StoreModel
     backends: Backends
     network: MemoryNetwork = attrs.field(factory=MemoryNetwork)
-    nodes: list[OwnNode] = attrs.field(factory=list)
+    nodes: list[InProcessNode] = attrs.field(factory=list)
     plain: PlainService | None = None
     revision: int = 0
     session: aiohttp.ClientSession | None = None
 
     @classmethod
-    async def start(cls, nodes: int = 3, engines: int = 9) -> OwnSite:
+    async def start(cls, nodes: int = 3, engines: int = 9) -> InProcessSite:
         rng = random.Random(1)
         model = StoreModel()
         times = {MODEL: ModelTimes(4, 0.2, 0.1)}
@@ -137,25 +137,25 @@
         await site.until(lambda: all(_sees_groups(n) for n in site.nodes))
         return site
 
-    async def add_node(self, index: int) -> OwnNode:
-        checked = settings(index)
+    async def add_node(self, index: int) -> InProcessNode:
+        node_settings = settings(index)
         timer = Timer.from_seed(index)
-        store = MemoryStoreClient(self.model, checked.node_name)
+        store = MemoryStoreClient(self.model, node_settings.node_name)
         exchange = MemoryExchange(self.backends, timer)
-        pool = self.network.pool(checked.node_name, str(checked.peers))
+        pool = self.network.pool(node_settings.node_name, str(node_settings.peers))
         clients = Clients(
             store, MemoryBackendClient(self.backends.fleet), exchange, pool
         )
-        daemon = Daemon.from_clients(checked, timer, clients)
+        daemon = Daemon.from_clients(node_settings, timer, clients)
         server = await HttpServer.listen("127.0.0.1:0", daemon.callers.handle)
         await daemon.start()
-        node = OwnNode(daemon, store, exchange, server)
+        node = InProcessNode(daemon, store, exchange, server)
         self.nodes.append(node)
         return node
 
     async def apply(self, document: dict[str, Any]) -> None:
-        done = await self.try_apply(document, self.revision, f"a{self.revision}")
-        self.revision = done.revision
+        applied = await self.try_apply(document, self.revision, f"a{self.revision}")
+        self.revision = applied.revision
         await self.until(
             lambda: all(
                 n.daemon.node.view.configuration.version >= self.revision
@@ -169,32 +169,34 @@
         store = self.nodes[node].store
         applier = ConfigApplier(store, self.nodes[node].daemon.node.timer, 65536)
         request = ApplyRequest(json.dumps(document).encode(), base, name, f"op-{name}")
-        done = await applier.apply(request)
-        return done.unwrap() if done.is_ok() else done.unwrap_err()
+        applied = await applier.apply(request)
+        return applied.unwrap() if applied.is_ok() else applied.unwrap_err()
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something holds; fails only if it never does."""
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds; fail after ``WAIT_LIMIT_S``."""
         async with asyncio.timeout(WAIT_LIMIT_S):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     async def post(
         self, path: str, body: bytes, node: int = 0, key: str = API_KEY, **headers: str
-    ) -> Got:
+    ) -> Response:
         sent = {"Authorization": f"Bearer {key}", **headers}
         url = f"http://{self.nodes[node].server.address}{path}"
         async with self.session.post(url, data=body, headers=sent) as reply:
-            return Got(reply.status, dict(reply.headers), await reply.read())
+            return Response(reply.status, dict(reply.headers), await reply.read())
 
     async def chat(
         self, text: str, node: int = 0, *, tokens: int = 30, **headers: str
-    ) -> Got:
+    ) -> Response:
         return await self.post(CHAT_PATH, chat_body(text, tokens), node, **headers)
 
-    async def bill(self, key: str = "k", text: str = "bill", node: int = 0) -> Got:
+    async def post_bill(
+        self, key: str = "k", text: str = "bill", node: int = 0
+    ) -> Response:
         headers = {"Idempotency-Key": key} if key else {}
         body = json.dumps({"text": text}).encode()
-        return await self.post(BILL, body, node, **headers)
+        return await self.post(BILLING_PATH, body, node, **headers)
 
     def plain_runs(self) -> int:
         return sum(self.backends.plain_runs.values())
@@ -206,7 +208,7 @@
         rows = [r for n, r in self.model.rows.items() if n[0] == CLAIM_TABLE]
         return [Claim.from_row(_as_row(r)) for r in rows]
 
-    def holder(self) -> OwnNode:
+    def claim_holder(self) -> InProcessNode:
         (claim,) = self.claims()
         return next(n for n in self.nodes if n.name == claim.node_name)
 
@@ -230,7 +232,7 @@
     return "".join(answer_text(body, index) for index in range(events))
 
 
-def _sees_groups(node: OwnNode) -> bool:
+def _sees_groups(node: InProcessNode) -> bool:
     directory = node.daemon.node.view.directory
     return len(list(directory.open_heads("a100", MODEL))) == 2
 
--- a/packages/daemon/tests/test_processes.py
+++ b/packages/daemon/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes: the HTTP interfaces, bad input, and a shutdown that cuts nothing."""
+"""Separate processes: the HTTP interfaces, bad input and a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -49,15 +49,15 @@
 
 @pytest_asyncio.fixture
 async def fleet() -> AsyncIterator[Fleet]:
-    """Two nodes, a group of four and a plain service."""
-    async with Fleet.create() as made:
-        await made.start_standins(engines=4, spare=0)
+    """Start two nodes, a group of four engines and a plain service."""
+    async with Fleet.create() as started:
+        await started.start_standins(engines=4, spare=0)
         for index in range(2):
-            await made.start_node(made.settings(index, drain_grace_s=5.0))
-        status, _ = await made.apply(made.nodes[0], declared_state(1), 0, "first")
+            await started.start_node(started.settings(index, drain_grace_s=5.0))
+        status, _ = await started.apply(started.nodes[0], declared_state(1), 0, "first")
         assert status == 200
-        await made.until_converged(made.nodes[1], 2)
-        yield made
+        await started.until_converged(started.nodes[1], 2)
+        yield started
 
 
 async def post(fleet: Fleet, path: str, content: bytes, headers: dict, node: int = 0):
@@ -86,7 +86,7 @@
                 assert reply.status == 401
         async with fleet.session.put(url + "/config", headers=headers) as reply:
             assert reply.status == 401
-    # Operators' calls are not served on the callers' address.
+    # The operators' interface is not served on the callers' address.
     token = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     async with fleet.session.get(
         f"{fleet.nodes[0].url}/config", headers=token
@@ -112,22 +112,24 @@
 
 
 async def check_shutdown(fleet: Fleet) -> None:
-    leaving = fleet.nodes[0]
+    draining = fleet.nodes[0]
     body = chat_body(max_tokens=500, stream=True)
-    url = leaving.url + CHAT
+    url = draining.url + CHAT
     async with fleet.session.post(url, data=body, headers=KEY) as reply:
         await reply.content.readany()
-        leaving.send(signal.SIGTERM)
+        draining.send(signal.SIGTERM)
         await asyncio.sleep(0.3)
-        async with fleet.session.get(leaving.url + "/ready") as ready:
+        async with fleet.session.get(draining.url + "/ready") as ready:
             assert ready.status == 503
         status, headers, _ = await post(fleet, CHAT, chat_body(), KEY)
-        assert status == 200, "a leaving node refused what it could still serve"
+        assert status == 200, (
+            "a draining node refused a request that it could still serve"
+        )
         assert headers["Connection"] == "close"
-        rest = (await reply.read()).decode()
-    assert rest.rstrip().endswith("data: [DONE]")
-    assert answer_text(body, 99) in rest
-    assert await asyncio.wait_for(leaving.process.wait(), 20.0) == 0
+        remainder = (await reply.read()).decode()
+    assert remainder.rstrip().endswith("data: [DONE]")
+    assert answer_text(body, 99) in remainder
+    assert await asyncio.wait_for(draining.process.wait(), 20.0) == 0
     status, _, _ = await post(fleet, CHAT, chat_body(), KEY, 1)
     assert status == 200
 
--- a/packages/operators/src/fordhatch/operators/__init__.py
+++ b/packages/operators/src/fordhatch/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' interface: apply declarative files and read back what is in force."""
+"""The operators' interface: apply declarative files and read the active state."""
 
 from __future__ import annotations
 
--- a/packages/operators/src/fordhatch/operators/_http_errors.py
+++ b/packages/operators/src/fordhatch/operators/_http_errors.py
@@ -1,4 +1,4 @@
-"""Failures as HTTP answers of the operators' interface."""
+"""Conversion of failures to HTTP responses of the operators' interface."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def failure_response(failure: Failure) -> HTTPResponse:
-    """Return a failure as an HTTP answer: status, headers and body agree."""
+    """Return a failure as an HTTP response.
+
+    Status, headers and body all come from the same failure, so that they agree.
+    """
     headers = {
         "X-Result-Code": str(int(failure.code)),
         "X-Ran": failure.ran.value,
@@ -29,23 +32,23 @@
 
 
 def new_app(name: str, max_body_bytes: int) -> Sanic:
-    """Return a web application that runs inside the daemon's own event loop.
+    """Return a web application that runs in the daemon's event loop.
 
     Args:
-        name: Unique within the process.
-        max_body_bytes: Longest request body.
+        name: Name of the application; unique within the process.
+        max_body_bytes: Largest accepted request body, in bytes.
     """
     app = Sanic(name, configure_logging=False)
-    # Two applications can't be started in one process otherwise.
+    # With touch-up on, Sanic can't start two applications in one process.
     app.config.TOUCHUP = False
     app.config.ACCESS_LOG = False
     app.config.MOTD = False
     app.config.REQUEST_MAX_SIZE = max_body_bytes
-    app.exception(Exception)(_unexpected)
+    app.exception(Exception)(_handle_exception)
     return app
 
 
-async def _unexpected(request: Request, error: Exception) -> HTTPResponse:
+async def _handle_exception(request: Request, error: Exception) -> HTTPResponse:
     return failure_response(_to_failure(request, error))
 
 
--- a/packages/operators/src/fordhatch/operators/_operators_app.py
+++ b/packages/operators/src/fordhatch/operators/_operators_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators: applying a file and reading back."""
+"""The HTTP interface for operators: apply a file and read the active state."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 from fordhatch.node import Node, render
 
 from ._http_errors import failure_response, new_app
-from ._reader import Found, Reader
+from ._state_reader import ReadResult, StateReader
 
-READ_WAIT_S = 8.0
-"""Longest wait for a revision that an operator wants to read back; an accepted file
-is in force everywhere within it."""
+MAX_READ_WAIT_S = 8.0
+"""Longest wait of a read for the revision that it requires. An accepted file is
+active on every node within this time."""
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
-"""Longest operators' file."""
+"""Largest accepted operators' file."""
 
 RETRY_AFTER_S = 1.0
-"""When to ask again for a revision that has not come yet."""
+"""``Retry-After`` of a read whose revision is not active on the node yet."""
 
-_Read = Callable[[], Awaitable[Found]]
+_ReadCall = Callable[[], Awaitable[ReadResult]]
 
 
 @attrs.define(eq=False, repr=False)
 class OperatorsApp:
-    """Checks operators' tokens, applies files and reads back."""
+    """HTTP application that authenticates operators, applies files and serves reads."""
 
     node: Node
     settings: Settings
     applier: ConfigApplier
-    reader: Reader
+    reader: StateReader
     app: Sanic
 
     @classmethod
     def from_node(cls, node: Node, settings: Settings) -> OperatorsApp:
-        """Return the application with its routes."""
-        # The library wants another name for each application of a process.
+        """Return the application of a node, with its routes."""
+        # Sanic requires a unique name for each application in a process.
         app = new_app(f"operators-{secrets.token_hex(4)}", MAX_FILE_BYTES)
         row_bytes = settings.limits.row_bytes
         applier = ConfigApplier(node.clients.store, node.timer, row_bytes)
-        operators = cls(node, settings, applier, Reader(node), app)
+        operators = cls(node, settings, applier, StateReader(node), app)
         app.add_route(operators.apply, "/config", methods=["PUT"])
         reader = operators.reader
-        reads: dict[str, _Read] = {
+        reads: dict[str, _ReadCall] = {
             "/config": reader.config,
             "/services": reader.services,
             "/groups": reader.groups,
@@ -58,71 +58,82 @@
             "/status": reader.status,
         }
         for path, read in reads.items():
-            handler = operators.reading(read)
+            handler = operators._read_handler(read)
             app.add_route(handler, path, methods=["GET"], name=f"read-{path[1:]}")
         app.add_route(operators.audit, "/audit", methods=["GET"])
         app.add_route(operators.metrics, "/metrics", methods=["GET"])
         return operators
 
-    def _operator(self, request: Request) -> Result[str, Failure]:
+    def _authenticate(self, request: Request) -> Result[str, Failure]:
         name = self.settings.operator_of(request.token or "")
         if name is None:
             return Err(Failure.from_code(ResultCode.UNAUTHENTICATED))
         return Ok(name)
 
     async def metrics(self, request: Request) -> HTTPResponse:
-        """Return every metric as text; no token, for the scraper's sake."""
-        page = render(self.node)
-        return raw(page, content_type="text/plain; version=0.0.4")
+        """Return every metric as text; scrapers need no token."""
+        metrics_text = render(self.node)
+        return raw(metrics_text, content_type="text/plain; version=0.0.4")
 
     async def apply(self, request: Request) -> HTTPResponse:
-        """Accept an operators' file."""
-        operator = self._operator(request)
+        """Apply the operators' file in the request body."""
+        operator = self._authenticate(request)
         if operator.is_err():
             return failure_response(operator.unwrap_err())
-        base = request.args.get("base_revision", "")
-        if not base.isdigit():
+        base_revision = request.args.get("base_revision", "")
+        if not base_revision.isdigit():
             text = "base_revision must be a number"
             return failure_response(Failure.from_code(ResultCode.BAD_REQUEST, text))
         apply_id = request.args.get("apply_id") or f"apply-{secrets.token_hex(10)}"
-        wanted = ApplyRequest(request.body, int(base), apply_id, operator.unwrap())
-        done = await self.applier.apply(wanted)
-        if done.is_err():
-            return failure_response(done.unwrap_err())
-        return json({"apply_id": apply_id, **attrs.asdict(done.unwrap())})
+        apply_request = ApplyRequest(
+            request.body, int(base_revision), apply_id, operator.unwrap()
+        )
+        applied = await self.applier.apply(apply_request)
+        if applied.is_err():
+            return failure_response(applied.unwrap_err())
+        return json({"apply_id": apply_id, **attrs.asdict(applied.unwrap())})
 
     async def audit(self, request: Request) -> HTTPResponse:
         """Return a page of the audit trail."""
-        operator = self._operator(request)
+        operator = self._authenticate(request)
         if operator.is_err():
             return failure_response(operator.unwrap_err())
-        found = await self.reader.audit(request.args.get("after", ""))
-        return self._answer(found)
+        result = await self.reader.audit(request.args.get("after", ""))
+        return self._respond(result)
 
-    def reading(self, read: _Read) -> Callable[[Request], Awaitable[HTTPResponse]]:
-        """Return a handler that checks the token and the lowest revision wanted."""
+    def _read_handler(
+        self, read: _ReadCall
+    ) -> Callable[[Request], Awaitable[HTTPResponse]]:
+        """Return a handler for a read.
+
+        The handler checks the operator's token and waits until the revision given as
+        ``min_revision`` is active.
+        """
 
         async def handler(request: Request) -> HTTPResponse:
-            operator = self._operator(request)
+            operator = self._authenticate(request)
             if operator.is_err():
                 return failure_response(operator.unwrap_err())
-            lowest = request.args.get("min_revision", "0")
-            if not lowest.isdigit():
+            min_revision = request.args.get("min_revision", "0")
+            if not min_revision.isdigit():
                 text = "min_revision must be a number"
                 return failure_response(Failure.from_code(ResultCode.BAD_REQUEST, text))
             configuration = self.node.view.configuration
-            if not await configuration.wait_for(int(lowest), READ_WAIT_S):
-                text = f"revision {configuration.version} is in force, not yet {lowest}"
+            if not await configuration.wait_for(int(min_revision), MAX_READ_WAIT_S):
+                text = (
+                    f"revision {configuration.version} is in force, "
+                    f"not yet {min_revision}"
+                )
                 failure = Failure.from_code(
                     ResultCode.REVISION_NOT_REACHED, text, retry_after_s=RETRY_AFTER_S
                 )
                 return failure_response(failure)
-            return self._answer(await read())
+            return self._respond(await read())
 
         return handler
 
-    def _answer(self, found: Found) -> HTTPResponse:
-        if found.is_err():
-            return failure_response(found.unwrap_err())
+    def _respond(self, result: ReadResult) -> HTTPResponse:
+        if result.is_err():
+            return failure_response(result.unwrap_err())
         revision = self.node.view.configuration.version
-        return json({"revision": revision, **found.unwrap()})
+        return json({"revision": revision, **result.unwrap()})
--- a/packages/operators/src/fordhatch/operators/_reader.py
+++ b/packages/operators/src/fordhatch/operators/_state_reader.py
@@ -1,4 +1,4 @@
-"""What operators read back: the state in force, as one node sees it."""
+"""Reads of the active state for operators, as one node sees it."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from fordhatch.registry import ReplicaGroup
 
 STATUS_TIMEOUT_S = 1.5
-"""How long another node may take to tell what it has in force."""
+"""Timeout for a status query to another node."""
 
-STATUS_AT_ONCE = 32
-"""Nodes that are asked at the same time."""
+MAX_CONCURRENT_STATUS_QUERIES = 32
+"""Limit of status queries in flight at the same time."""
 
-AUDIT_PAGE = 200
-"""Records of the audit trail in one answer."""
+AUDIT_PAGE_RECORDS = 200
+"""Audit records in one page."""
 
-Found = Result[dict[str, Any], Failure]
+ReadResult = Result[dict[str, Any], Failure]
 
 
 @attrs.define(eq=False, repr=False)
-class Reader:
-    """Answers every reading call from a node's view."""
+class StateReader:
+    """Builds the responses to operators' reads from a node's view."""
 
     node: Node
 
@@ -43,16 +43,16 @@
     def _configuration(self) -> DeclaredConfiguration | None:
         return self.node.view.configuration.current
 
-    async def config(self) -> Found:
-        """Return the declared state in force."""
+    async def config(self) -> ReadResult:
+        """Return the active declared configuration."""
         current = self._configuration
         if current is None:
             return Ok({"digest": None, "config": None})
         declared = json.loads(current.head.content)
         return Ok({"digest": current.head.digest, "config": declared})
 
-    async def services(self) -> Found:
-        """Return each service with its declared and serving groups."""
+    async def services(self) -> ReadResult:
+        """Return services with their counts of declared, formed and serving groups."""
         return Ok({"services": self._services()})
 
     def _services(self) -> list[dict[str, Any]]:
@@ -60,11 +60,11 @@
         if current is None:
             return []
         declared = current.declared
-        models = [self._model_service(s) for s in declared.model_services]
-        plain = [self._plain_service(s.name) for s in declared.plain_services]
+        models = [self._model_service_json(s) for s in declared.model_services]
+        plain = [self._plain_service_json(s.name) for s in declared.plain_services]
         return [*models, *plain]
 
-    def _model_service(self, service: ModelService) -> dict[str, Any]:
+    def _model_service_json(self, service: ModelService) -> dict[str, Any]:
         groups = [
             g
             for g in self.node.view.directory.groups(service.accelerator).values()
@@ -79,7 +79,7 @@
             "serving": sum(_is_serving(g) for g in groups),
         }
 
-    def _plain_service(self, name: str) -> dict[str, Any]:
+    def _plain_service_json(self, name: str) -> dict[str, Any]:
         directory = self.node.view.directory
         return {
             "name": name,
@@ -90,27 +90,27 @@
             "serving": len(directory.plain(name)),
         }
 
-    async def groups(self) -> Found:
-        """Return every group that some backend server reports a place in."""
+    async def groups(self) -> ReadResult:
+        """Return every group of which a backend server reports to be a member."""
         current = self._configuration
         accelerators = current.declared.accelerators if current else []
         directory = self.node.view.directory
         found = [
-            _group(accelerator.name, group)
+            _group_json(accelerator.name, group)
             for accelerator in accelerators
             for group in directory.groups(accelerator.name).values()
         ]
         return Ok({"groups": sorted(found, key=lambda g: g["group"])})
 
-    async def backends(self) -> Found:
-        """Return every registered backend server and what it belongs to."""
+    async def backends(self) -> ReadResult:
+        """Return every registered backend server with its service and group."""
         listed = self.node.view.directory.backends.values()
-        found = [_backend(b) for b in sorted(listed, key=lambda b: b.backend_id)]
+        found = [_backend_json(b) for b in sorted(listed, key=lambda b: b.backend_id)]
         return Ok({"backends": found})
 
-    async def nodes(self) -> Found:
-        """Return every registered node, and what those that answer say."""
-        replies = {reply.node_name: reply for reply in await self._ask_nodes()}
+    async def nodes(self) -> ReadResult:
+        """Return every registered node, with the status of those that answer."""
+        replies = {reply.node_name: reply for reply in await self._query_nodes()}
         found = []
         for name, address in sorted(self.node.view.shared.nodes.items()):
             reply = replies.get(name)
@@ -127,9 +127,13 @@
             )
         return Ok({"nodes": found})
 
-    async def audit(self, after_key: str = "") -> Found:
-        """Return a page of the audit trail."""
-        page = await read_audit(self.node.clients.store, after_key, AUDIT_PAGE)
+    async def audit(self, after_key: str = "") -> ReadResult:
+        """Return a page of the audit trail, without the contents of the files.
+
+        Args:
+            after_key: The ``next`` of the previous page; empty for the first page.
+        """
+        page = await read_audit(self.node.clients.store, after_key, AUDIT_PAGE_RECORDS)
         if page.is_err():
             return page
         records, end = page.unwrap()
@@ -138,9 +142,9 @@
             del row["content"]
         return Ok({"audit": rows, "next": end})
 
-    async def status(self) -> Found:
-        """Return how far the declared state is in force."""
-        replies = await self._ask_nodes()
+    async def status(self) -> ReadResult:
+        """Return on how many nodes the declared state is active, and what is served."""
+        replies = await self._query_nodes()
         revision = self.node.view.configuration.version
         services = self._services()
         converged = all(s["serving"] >= s["declared"] for s in services)
@@ -158,22 +162,22 @@
             }
         )
 
-    async def _ask_nodes(self) -> list[StatusReply]:
-        gate = asyncio.Semaphore(STATUS_AT_ONCE)
+    async def _query_nodes(self) -> list[StatusReply]:
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_STATUS_QUERIES)
 
-        async def ask(address: str) -> StatusReply | None:
-            async with gate:
+        async def query(address: str) -> StatusReply | None:
+            async with semaphore:
                 pool = self.node.clients.pool
                 reply = await pool.request(address, QueryStatus(), STATUS_TIMEOUT_S)
             found = reply.ok()
             return found if isinstance(found, StatusReply) else None
 
-        others = [
+        other_addresses = [
             n.address
             for n in self.node.view.shared.nodes.values()
             if n.name != self.node.settings.node_name
         ]
-        replies = await asyncio.gather(*(ask(address) for address in others))
+        replies = await asyncio.gather(*(query(address) for address in other_addresses))
         return [self.node.status(), *(r for r in replies if r is not None)]
 
 
@@ -181,7 +185,7 @@
     return group.head is not None and group.head.is_open_head
 
 
-def _group(service: str, group: ReplicaGroup) -> dict[str, Any]:
+def _group_json(service: str, group: ReplicaGroup) -> dict[str, Any]:
     head = group.head
     return {
         "group": group.name,
@@ -195,8 +199,8 @@
     }
 
 
-def _backend(backend: BackendServer) -> dict[str, Any]:
-    place = backend.membership
+def _backend_json(backend: BackendServer) -> dict[str, Any]:
+    membership = backend.membership
     return {
         "backend": backend.backend_id,
         "service": backend.service,
@@ -205,5 +209,5 @@
         "domain": backend.domain,
         "state": backend.state,
         "staged": list(backend.staged_models),
-        "group": place.group if place is not None else "",
+        "group": membership.group if membership is not None else "",
     }
