--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -58,26 +58,27 @@
     ),
     Mechanism(
         "evidence of an outage for all",
-        f"{SERVING}/_knowledge.py",
-        "    if is_outage_for_all and not bounds.is_revocation_strict:\n",
+        f"{SERVING}/_freshness.py",
+        "    if is_system_wide_outage and not bounds.is_revocation_strict:\n",
         "    if False:\n",
     ),
     Mechanism(
         "groups recorded for nodes that start",
-        f"{REGISTRY}/_followers.py",
+        f"{REGISTRY}/_store_view.py",
         "                directory.restore(members_of(shared.records.values()))\n",
         "                pass\n",
     ),
     Mechanism(
         "formations ask their members first",
         f"{PLACEMENT}/_group_builder.py",
-        "            self.care.losses.ask(member)\n",
+        "            self.supervisor.losses.check(member)\n",
         "            pass\n",
     ),
     Mechanism(
         "members of released groups leave",
         f"{PLACEMENT}/_planner.py",
-        "        self.dissolutions.free_leftovers(self.formations.member_ids())\n",
+        "        self.dissolutions.order_remaining_to_leave("
+        "self.formations.member_ids())\n",
         "",
     ),
     Mechanism(
@@ -88,8 +89,8 @@
     ),
     Mechanism(
         "groups give way for a slow member",
-        f"{PLACEMENT}/_group_care.py",
-        "        if pace < USELESS_PACE:\n",
+        f"{PLACEMENT}/_group_supervisor.py",
+        "        if pace < MAX_MEMBER_PACE:\n",
         "        if True:\n",
     ),
     Mechanism(
@@ -114,8 +115,8 @@
     Mechanism(
         "second runs of broken streams",
         f"{SERVING}/_stream_call.py",
-        "MOST_SENDS = 6\n",
-        "MOST_SENDS = 1\n",
+        "MAX_SENDS = 6\n",
+        "MAX_SENDS = 1\n",
     ),
     Mechanism(
         "availability zones weighed",
--- a/bench/entry_guards.py
+++ b/bench/entry_guards.py
@@ -52,7 +52,7 @@
     ),
     Guard(
         "PARTIAL: a later start is not its group's member by a late order",
-        "placement/_group_care.py",
+        "placement/_group_supervisor.py",
         "                self._restarted.add(group.key)\n",
         "                pass\n",
         f"{RESTARTS} -k new_planner_is_not_misled",
@@ -66,14 +66,14 @@
     ),
     Guard(
         "PARTIAL: who has left its group is not only unlisted",
-        "placement/_group_care.py",
+        "placement/_group_supervisor.py",
         "        if any(m.backend_id in listed for m in absent):\n",
         "        if False:\n",
         "packages/placement/tests/test_healing.py -k has_left",
     ),
     Guard(
         "BUDGET: shares that do not divide are used",
-        "serving/_repeat_budget.py",
+        "serving/_retry_budget.py",
         " + self.rounding):\n",
         "):\n",
         "packages/serving/tests/test_parts.py -k do_not_divide",
--- a/bench/own_guards.py
+++ b/bench/own_guards.py
@@ -103,7 +103,7 @@
     ),
     Guard(
         "a restarted node does not use its share of the repeats again",
-        "serving/_repeat_budget.py",
+        "serving/_retry_budget.py",
         "        return min(START_FRACTION + grown, 1.0)\n",
         "        return 1.0\n",
         "packages/serving/tests/test_parts.py -k restarted_node",
--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -82,7 +82,7 @@
     ),
     Guard(
         "BUDGET: nodes share the budget for repeats",
-        "serving/_repeat_budget.py",
+        "serving/_retry_budget.py",
         "        slack = self.bounds.retry_slack / self._max_nodes()\n",
         "        slack = self.bounds.retry_slack\n",
         f"{SERVING}/test_parts.py -k nodes_together",
@@ -110,7 +110,7 @@
     ),
     Guard(
         "CONFIG: a version never falls",
-        "registry/_configuration_in_force.py",
+        "registry/_active_configuration.py",
         "        if found.version <= self.version:\n",
         "        if found.version == self.version:\n",
         f"{REGISTRY}/test_store_view.py -k never_decreases",
@@ -216,20 +216,20 @@
     Guard(
         "CONFIG: few nodes that are cut off together are no outage for all",
         "registry/_outage_evidence.py",
-        "        return witnesses >= max(witnesses_needed(nodes), unanswered)\n",
+        "        return witnesses >= max(min_witnesses(nodes), unanswered)\n",
         "        return witnesses >= 1\n",
         f"{REGISTRY}/test_outage_evidence.py -k cut_off_together",
     ),
     Guard(
         "CONFIG: strict removal of keys has its limit in any outage",
-        "serving/_knowledge.py",
-        "    if is_outage_for_all and not bounds.is_revocation_strict:\n",
-        "    if is_outage_for_all:\n",
+        "serving/_freshness.py",
+        "    if is_system_wide_outage and not bounds.is_revocation_strict:\n",
+        "    if is_system_wide_outage:\n",
         f"{SERVING}/test_freshness.py -k strict_removal",
     ),
     Guard(
         "DENIED: knowledge in an outage denies nothing",
-        "serving/_knowledge.py",
+        "serving/_freshness.py",
         "        return Freshness.GOOD\n",
         "        return Freshness.CERTAIN\n",
         f"{SERVING}/test_freshness.py -k denied_by_a_certain",
@@ -250,7 +250,7 @@
     ),
     Guard(
         "return of the store: a node that starts takes recorded groups",
-        "registry/_followers.py",
+        "registry/_store_view.py",
         "                directory.restore(members_of(shared.records.values()))\n",
         "                pass\n",
         "standins/tests/test_outages.py -k entries_lapsed",
@@ -265,7 +265,7 @@
     Guard(
         "healing: a formation asks its members first",
         "placement/_group_builder.py",
-        "            self.care.losses.ask(member)\n",
+        "            self.supervisor.losses.check(member)\n",
         "            pass\n",
         "packages/placement/tests/test_healing.py -k dead_spare",
     ),
--- a/bench/pressure_guards.py
+++ b/bench/pressure_guards.py
@@ -44,7 +44,7 @@
     ),
     Guard(
         "rest: it ends within a bound",
-        "serving/_pressure_book.py",
+        "serving/_backpressure.py",
         "min(rest_s, MAX_BLOCK_S - BACKOFF_SPREAD_S)",
         "rest_s",
         f"{SERVING}/test_plain_calls.py -k backoff_of_a_year",
@@ -52,7 +52,7 @@
     Guard(
         "rest and departure: looked at again as the connection stands",
         "serving/_admission.py",
-        "        pressure = self.pressure.why_not(backend_id)\n",
+        "        pressure = self.pressure.blocking_reason(backend_id)\n",
         "        pressure = None\n",
         f"{SERVING}/test_plain_calls.py -k while_connecting",
     ),
@@ -65,7 +65,7 @@
     ),
     Guard(
         "departure: other nodes are told",
-        "serving/_pressure_book.py",
+        "serving/_backpressure.py",
         "        for callback in self._leaving_subscribers:\n"
         "            callback(backend_id)\n",
         "",
--- a/bench/store_guards.py
+++ b/bench/store_guards.py
@@ -97,14 +97,14 @@
     ),
     Guard(
         "return of an older store: own rows are written again",
-        "registry/_row_keeper.py",
+        "registry/_row_restorer.py",
         "        self.write(merged.lost, copy)\n",
         "        pass\n",
         f"{RETURNS} -k own_rows",
     ),
     Guard(
         "return of an older store: own rows are known meanwhile",
-        "registry/_row_keeper.py",
+        "registry/_row_restorer.py",
         "        return merged.update\n",
         "        return update\n",
         f"{RETURNS} -k own_rows",
@@ -118,7 +118,7 @@
     ),
     Guard(
         "return of an older store: who starts learns the newest configuration",
-        "registry/_followers.py",
+        "registry/_store_view.py",
         "            return configuration.replace_others(update)\n",
         "            return update\n",
         f"{RETURNS} -k starts_after",
@@ -139,8 +139,9 @@
     ),
     Guard(
         "return of an older store: an operators' file is written again",
-        "registry/_followers.py",
-        "                keeper.write(configuration.lost(update), operators.copy)\n",
+        "registry/_store_view.py",
+        "                row_restorer.write(configuration.lost(update), "
+        "operators.copy)\n",
         "                pass\n",
         f"{CLAIMS} -k file_lost",
     ),
--- a/packages/chat/src/fordhatch/chat/_caller_checks.py
+++ b/packages/chat/src/fordhatch/chat/_caller_checks.py
@@ -52,7 +52,7 @@
         Returns:
             The request's context, or the failure to answer with.
         """
-        not_serving = self.path.state.why_not()
+        not_serving = self.path.state.refusal()
         if not_serving is not None:
             return Err(not_serving)
         header = http_request.headers.get("Authorization", "")
--- a/packages/chat/src/fordhatch/chat/_chat_server.py
+++ b/packages/chat/src/fordhatch/chat/_chat_server.py
@@ -80,7 +80,7 @@
     async def _route(self, http_request: web.BaseRequest, reply: CallReply) -> Reply:
         path, method = http_request.path, http_request.method
         if path == READY_PATH and method == "GET":
-            await reply.whole(*self._ready())
+            await reply.send_complete(*self._ready())
             return reply
         if path == MODELS_PATH and method == "GET":
             return await self._models(http_request, reply)
@@ -93,7 +93,7 @@
 
     def _ready(self) -> tuple[int, list[tuple[str, str]], bytes]:
         state = self.path.state
-        failure = state.why_not()
+        failure = state.refusal()
         if state.is_leaving:
             failure = Failure.from_code(ResultCode.SHUTTING_DOWN)
         body = {"ready": True, "revision": state.view.configuration.version}
@@ -118,7 +118,7 @@
             and isinstance(declared.service(a.service), ModelService)
         ]
         body = json.dumps({"object": "list", "data": data}).encode()
-        await reply.whole(200, [("Content-Type", "application/json")], body)
+        await reply.send_complete(200, [("Content-Type", "application/json")], body)
         return reply
 
     # Chat completions.
--- a/packages/chat/src/fordhatch/chat/_replies.py
+++ b/packages/chat/src/fordhatch/chat/_replies.py
@@ -130,7 +130,7 @@
         await self.response.write(b"data: " + error + b"\n\n")
         await self.response.write_eof()
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Refuse an answer that is not a stream, which means that the engine failed."""
@@ -165,7 +165,7 @@
 class CallReply(_HttpReply):
     """A reply that is sent in full, such as the answer of a plain service."""
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
@@ -216,12 +216,12 @@
         self.failure = failure
         await self._forward(self.inner.refuse(failure))
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
         self.stored = StoredAnswer(status, [list(h) for h in headers], body, False)
-        await self._forward(self.inner.whole(status, headers, body))
+        await self._forward(self.inner.send_complete(status, headers, body))
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
         """Begin a streamed answer."""
@@ -251,7 +251,7 @@
     """Send a stored answer."""
     headers = [(name, value) for name, value in answer.headers]
     if not answer.is_stream:
-        await reply.whole(answer.status, headers, answer.body)
+        await reply.send_complete(answer.status, headers, answer.body)
         return
     await reply.begin(answer.status, headers)
     if answer.body:
--- a/packages/node/src/fordhatch/node/_crash_gossip.py
+++ b/packages/node/src/fordhatch/node/_crash_gossip.py
@@ -68,7 +68,7 @@
             failure = Failure.from_code(ResultCode.FRAME_INVALID, repr(error))
             await channel.send(to_refused(failure))
             return
-        new = self.crashes.quarantine.hear(records)
+        new = self.crashes.quarantine.record_remote(records)
         if new and self.view.configuration_age_s() > FORWARD_MIN_AGE_S:
             self.send(new)
         await channel.send(CrashesNoted())
--- a/packages/node/src/fordhatch/node/_demand_survey.py
+++ b/packages/node/src/fordhatch/node/_demand_survey.py
@@ -9,7 +9,7 @@
 
 from fordhatch.catalog import ModelDemand
 from fordhatch.core import Failure, Timer
-from fordhatch.placement import DemandBook, PlannerLease
+from fordhatch.placement import DemandEstimator, PlannerLease
 from fordhatch.protocol import PeerPool
 from fordhatch.protocol.messages import DemandReply, QueryDemand
 from fordhatch.registry import NodeAddress, StoreView
@@ -37,7 +37,7 @@
     timer: Timer
     lease: PlannerLease
     meter: DemandMeter
-    estimator: DemandBook
+    estimator: DemandEstimator
     _remaining: list[str] = attrs.field(factory=list)
     """Names of the nodes that have not been queried in the current cycle."""
 
--- a/packages/node/src/fordhatch/node/_node.py
+++ b/packages/node/src/fordhatch/node/_node.py
@@ -13,7 +13,7 @@
 from fordhatch.adapter import StoreVersion
 from fordhatch.catalog import NodeSettings
 from fordhatch.core import Failure, ResultCode, TaskSet, Timer, log_event, metrics
-from fordhatch.placement import HolderNews, Planner, PlannerLease
+from fordhatch.placement import LeaseHolderStatus, Planner, PlannerLease
 from fordhatch.protocol import Channel, PeerPool, to_refused
 from fordhatch.protocol.messages import (
     AskPermit,
@@ -32,7 +32,7 @@
     ReaderChoice,
     RelayClient,
     RelayServer,
-    RowKeeper,
+    RowRestorer,
     SharedRows,
     StoreSource,
     StoreView,
@@ -245,7 +245,7 @@
 
     async def _clean_up(self) -> None:
         """Remove records of departed backend servers and update the gauges."""
-        self.path.forget_gone()
+        self.path.prune()
         self.view.directory.forget_departures()
         for (service, kind), count in self.path.permits.pressure.counts().items():
             metrics.BACKENDS_ASKING.labels(service, kind.value).set(count)
@@ -259,7 +259,7 @@
         self.settings = settings
         self.state.bounds = settings.bounds
         self.path.budget.bounds = settings.bounds
-        self.planner.take_bounds(settings.bounds)
+        self.planner.apply_bounds(settings.bounds)
         log_event("settings_reloaded")
 
     async def leave(
@@ -296,7 +296,7 @@
 
 async def _query_holder(
     pool: PeerPool, view: StoreView, node_name: str
-) -> HolderNews | None:
+) -> LeaseHolderStatus | None:
     """Query the holder of the planner lease whether it still renews the lease."""
     address = view.shared.nodes.get(node_name)
     if address is None:
@@ -305,7 +305,7 @@
     reply = answer.ok()
     if not isinstance(reply, StatusReply):
         return None
-    return HolderNews(reply.is_planner, StoreVersion(*reply.lease_version))
+    return LeaseHolderStatus(reply.is_planner, StoreVersion(*reply.lease_version))
 
 
 def _view(
@@ -329,7 +329,7 @@
         relay=RelayClient(
             clients.pool, choice, timer, relay_wait_s(settings.bounds.config_apply_s)
         ),
-        begin_spread_s=FIRST_START_SPREAD_S if settings.is_first_start else 0.0,
-        keeper=RowKeeper(clients.store, timer),
+        start_spread_s=FIRST_START_SPREAD_S if settings.is_first_start else 0.0,
+        row_restorer=RowRestorer(clients.store, timer),
     )
     return view, RelayServer.create(view.followers, choice)
--- a/packages/node/src/fordhatch/node/_outage_survey.py
+++ b/packages/node/src/fordhatch/node/_outage_survey.py
@@ -11,7 +11,7 @@
 from fordhatch.core import Failure, ResultCode, Timer, log_event
 from fordhatch.protocol import PeerPool
 from fordhatch.protocol.messages import QueryStatus, StatusReply
-from fordhatch.registry import NodeAddress, NodeWord, StoreView, witnesses_needed
+from fordhatch.registry import NodeAddress, NodeReport, StoreView, min_witnesses
 
 SURVEY_MIN_AGE_S = 1.5
 """Age of this node's last confirmation from which it queries other nodes. A reader that
@@ -46,7 +46,7 @@
             if self.view.configuration_age_s() > SURVEY_MIN_AGE_S:
                 await asyncio.gather(*(self._query(node) for node in self._sample()))
             else:
-                self.view.evidence.confirmed()
+                self.view.evidence.clear()
             self._log_change()
             await self.timer.sleep(self.timer.jittered(SURVEY_INTERVAL_S))
 
@@ -54,18 +54,18 @@
         """Return a new random sample of the nodes to query in this round."""
         nodes = self.view.shared.nodes
         others = [n for n in nodes.values() if n.name != self.node_name]
-        count = min(witnesses_needed(len(nodes)) + EXTRA_NODES, len(others))
+        count = min(min_witnesses(len(nodes)) + EXTRA_NODES, len(others))
         return self.timer.rng.sample(others, count)
 
     async def _query(self, node: NodeAddress) -> None:
         asked_s = self.timer.now_s()
         answer = await self.pool.request(node.address, QueryStatus(), QUERY_TIMEOUT_S)
-        self.view.evidence.note(node.name, NodeWord(asked_s, _age_s(answer)))
+        self.view.evidence.record(node.name, NodeReport(asked_s, _age_s(answer)))
 
     def _log_change(self) -> None:
         """Log when a system-wide outage begins or ends."""
         nodes = len(self.view.shared.nodes)
-        is_system_wide = self.view.evidence.is_for_all(self.timer.now_s(), nodes)
+        is_system_wide = self.view.evidence.is_system_wide(self.timer.now_s(), nodes)
         if is_system_wide == self._is_system_wide:
             return
         self._is_system_wide = is_system_wide
--- a/packages/node/src/fordhatch/node/_pressure_gossip.py
+++ b/packages/node/src/fordhatch/node/_pressure_gossip.py
@@ -64,7 +64,7 @@
 
     def start(self) -> None:
         """Begin to send updates, and query other nodes for the limits they know."""
-        self.permits.ask = self.request_permit
+        self.permits.request_permit = self.request_permit
         self.permits.pressure.subscribe_limits(self._queue_limit)
         self.permits.pressure.subscribe_departures(self._queue_departure)
         self._tasks.spawn(self._query_at_start(), "learn-pressure")
@@ -113,7 +113,7 @@
         return PressureSeen(entries, departures)
 
     def _age_s(self, limit: ServerLimit) -> float:
-        return min(max(self.timer.now_s() - limit.said_s, 0.0), MOST_AGE_S)
+        return min(max(self.timer.now_s() - limit.received_s, 0.0), MOST_AGE_S)
 
     async def receive(self, message: PressureSeen, channel: Channel) -> None:
         """Apply another node's update and acknowledge it."""
@@ -126,9 +126,9 @@
         for backend_id, per_s, age_s in message.limits:
             if backend_id in known:
                 limit = ServerLimit(backend_id, per_s, now_s - age_s)
-                self.permits.pressure.take_limit(limit)
+                self.permits.pressure.apply_limit(limit)
         for backend_id in message.leaving:
-            self.permits.pressure.take_leaving(backend_id)
+            self.permits.pressure.record_departure(backend_id)
 
     async def send_known(self, channel: Channel) -> None:
         """Reply with every limit and departure that this node knows."""
@@ -172,9 +172,9 @@
 
     async def answer_permit(self, message: AskPermit, channel: Channel) -> None:
         """Grant or deny another node's request for a permit."""
-        said_s = self.timer.now_s() - message.age_s
-        limit = ServerLimit(message.backend_id, message.limit_per_s, said_s)
-        permit = self.permits.asked_by(channel.peer_name, limit)
+        received_s = self.timer.now_s() - message.age_s
+        limit = ServerLimit(message.backend_id, message.limit_per_s, received_s)
+        permit = self.permits.issue_to(channel.peer_name, limit)
         await channel.send(PermitReply(permit.is_granted, permit.again_s))
 
     async def close(self) -> None:
--- a/packages/node/tests/test_stateful_site.py
+++ b/packages/node/tests/test_stateful_site.py
@@ -52,7 +52,7 @@
         self.failure = failure
         self.is_final = True
 
-    async def whole(self, status: int, headers: list, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: list, body: bytes) -> None:
         self.is_final = True
 
     async def begin(self, status: int, headers: list) -> None:
--- a/packages/placement/src/fordhatch/placement/__init__.py
+++ b/packages/placement/src/fordhatch/placement/__init__.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from ._conversion import Conversion, choose_conversion
-from ._demand_book import DemandBook
+from ._demand_estimator import DemandEstimator
 from ._group_need import group_need
 from ._layout import GroupPlan, Layout, choose_group
 from ._load_budget import LoadBudget
 from ._lost_groups import LostGroups
 from ._planner import Planner
-from ._planner_lease import HolderNews, PlannerLease
+from ._planner_lease import LeaseHolderStatus, PlannerLease
 from ._staging import Staging
 
 __all__ = [
     "Conversion",
-    "DemandBook",
+    "DemandEstimator",
     "GroupPlan",
-    "HolderNews",
     "Layout",
+    "LeaseHolderStatus",
     "LoadBudget",
     "LostGroups",
     "Planner",
--- a/packages/placement/src/fordhatch/placement/_conversion.py
+++ b/packages/placement/src/fordhatch/placement/_conversion.py
@@ -49,7 +49,7 @@
     free_by_domain = by_domain(free)
     for domain, groups in sorted(_by_domain(serving).items()):
         for model in layout.profile.models:
-            if model.name in layout.held_off:
+            if model.name in layout.paused_models:
                 continue
             found = _in_domain(layout, model, free_by_domain.get(domain, []), groups)
             if found is not None and (best is None or found[0] > best[0]):
--- a/packages/placement/src/fordhatch/placement/_crash_loops.py
+++ b/packages/placement/src/fordhatch/placement/_crash_loops.py
@@ -97,7 +97,7 @@
         self._failures.pop(model, None)
         self._paused_until_s.pop(model, None)
 
-    def held_off(self) -> frozenset[str]:
+    def paused_models(self) -> frozenset[str]:
         """Return the models for which forming groups is paused."""
         now_s = self.timer.now_s()
         return frozenset(
--- a/packages/placement/src/fordhatch/placement/_crash_record_care.py
+++ b/packages/placement/src/fordhatch/placement/_crash_record_cleaner.py
@@ -54,7 +54,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class CrashRecordCare:
+class CrashRecordCleaner:
     """Remove outdated crash records from the store on behalf of the planner."""
 
     view: StoreView
--- a/packages/placement/src/fordhatch/placement/_demand_book.py
+++ b/packages/placement/src/fordhatch/placement/_demand_estimator.py
@@ -101,7 +101,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class DemandBook:
+class DemandEstimator:
     """Collect the reports of nodes and estimate the demand at all nodes."""
 
     _reports: dict[str, _Report] = attrs.field(factory=dict)
@@ -113,7 +113,7 @@
     _first_report_s: float | None = None
     _last_step_s: float = -math.inf
 
-    def heard(
+    def record_report(
         self, node_name: str, demand: Mapping[ModelKey, ModelDemand], now_s: float
     ) -> None:
         """Record a node's report."""
@@ -197,7 +197,7 @@
             for model in profile.models
         }
 
-    def has_moved(self, service: str, busy_groups: Mapping[str, float]) -> bool:
+    def has_changed(self, service: str, busy_groups: Mapping[str, float]) -> bool:
         """Return whether a model's work has changed much since it was last logged."""
         logged = self._logged.get(service)
         if logged is not None and not any(
--- a/packages/placement/src/fordhatch/placement/_dissolutions.py
+++ b/packages/placement/src/fordhatch/placement/_dissolutions.py
@@ -134,7 +134,7 @@
             if b.backend_id != head.backend_id
         ]
         if others:
-            self.losses.ask(head)
+            self.losses.check(head)
         return any(head.born_ms and b.born_ms > head.born_ms for b in others)
 
     def _has_no_listed_member(self, dissolution: Dissolution) -> bool:
@@ -182,7 +182,7 @@
 
         def on_reply(response: Result[OrderReply, Failure]) -> None:
             if response.is_err():
-                self.losses.ask(head)
+                self.losses.check(head)
 
         return on_reply
 
@@ -219,7 +219,7 @@
         if dissolution.incomplete_since_s is None:
             dissolution.incomplete_since_s = self.timer.now_s()
 
-    def free_leftovers(self, taken: Set[str]) -> None:
+    def order_remaining_to_leave(self, taken: Set[str]) -> None:
         """Order the remaining members of released groups to leave.
 
         Otherwise their entries would name the group until they join another one. The
@@ -239,7 +239,7 @@
         """Return the backend servers that must not join another group yet."""
         return {m.backend_id for d in self.active.values() for m in d.members.values()}
 
-    def is_held(self, key: Key) -> bool:
+    def is_dissolving(self, key: Key) -> bool:
         """Return whether a group is being dissolved, so its members must not move."""
         return key in self.active
 
--- a/packages/placement/src/fordhatch/placement/_formations.py
+++ b/packages/placement/src/fordhatch/placement/_formations.py
@@ -101,7 +101,7 @@
         if head.membership.state is MemberState.READY:
             self.order_sender.send(head, GroupOrder(OrderKind.OPEN, *group.key))
 
-    def opened(self, key: Key) -> bool:
+    def mark_opened(self, key: Key) -> bool:
         """Complete a formation whose group serves; return whether it was active."""
         formation = self.active.pop(key, None)
         if formation is None:
--- a/packages/placement/src/fordhatch/placement/_group_builder.py
+++ b/packages/placement/src/fordhatch/placement/_group_builder.py
@@ -14,7 +14,7 @@
 from ._conversion import Conversion, choose_conversion
 from ._dissolutions import Dissolutions
 from ._formations import Formations
-from ._group_care import GroupCare
+from ._group_supervisor import GroupSupervisor
 from ._layout import FreeBackends, GroupPlan, Layout, choose_group
 
 CONVERSION_TIMEOUT_S = 8.0
@@ -44,7 +44,7 @@
 class GroupBuilder:
     """Forms groups from free backend servers and gives up other groups for them."""
 
-    care: GroupCare
+    supervisor: GroupSupervisor
     formations: Formations
     dissolutions: Dissolutions
     timer: Timer
@@ -122,7 +122,7 @@
             if plan is None:
                 return remaining.all()
             self._begin_formation(layout, plan)
-            remaining.take(plan)
+            remaining.remove_members(plan)
 
     def _finish_conversions(
         self, layout: Layout, free: list[BackendServer]
@@ -150,7 +150,7 @@
     ) -> list[BackendServer]:
         waited_s = self.timer.now_s() - pending.since_s
         donors = pending.conversion.donors
-        is_dissolving = any(self.dissolutions.is_held(g.key) for g in donors)
+        is_dissolving = any(self.dissolutions.is_dissolving(g.key) for g in donors)
         if is_dissolving and waited_s < CONVERSION_TIMEOUT_S:
             return [b for b in free if b.domain != domain]
         del self._pending[domain]
@@ -170,7 +170,7 @@
         for member in plan.members:
             # An entry outlives its backend server by seconds, or by the length of a
             # store outage. A dead member would delay the others for two seconds.
-            self.care.losses.ask(member)
+            self.supervisor.losses.check(member)
         layout.add(plan.model.name, plan.members[0].domain)
 
     def _convert(
@@ -186,7 +186,7 @@
         serving = [
             g
             for g in kept
-            if self.care.is_settled(g)
+            if self.supervisor.is_settled(g)
             and g.head is not None
             and g.head.domain not in self._pending
         ]
@@ -196,7 +196,7 @@
             serving = [g for g in serving if layout.profile.model(g.model) is not None]
         now_s = self.timer.now_s()
         serving = [g for g in serving if not self._has_gained_recently(g.model, now_s)]
-        expected_layout = layout.with_more(self._dissolving_groups())
+        expected_layout = layout.with_added_groups(self._dissolving_groups())
         found = choose_conversion(expected_layout, free, serving)
         if found is None:
             return free
@@ -204,5 +204,5 @@
         self._last_gain_s[found.model.name] = now_s
         for group in found.donors:
             reason = f"makes room for {found.model.name}"
-            self.care.dissolve(group, reason, finishes_work=True, is_lost=False)
+            self.supervisor.dissolve(group, reason, finishes_work=True, is_lost=False)
         return [b for b in free if b.domain != found.domain]
--- a/packages/placement/src/fordhatch/placement/_group_care.py
+++ b/packages/placement/src/fordhatch/placement/_group_supervisor.py
@@ -30,7 +30,7 @@
 streams end within a second. It receives no new requests, and a backend server that lost
 its connection to the store is often listed again soon."""
 
-USELESS_PACE = 2.5
+MAX_MEMBER_PACE = 2.5
 """A group with a member that is this many times slower is dissolved: at a third of the
 usual speed, the pauses of its streams exceed what callers accept once a few run."""
 
@@ -41,7 +41,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class GroupCare:
+class GroupSupervisor:
     """Keep the planner's state of each group and advance the group accordingly."""
 
     view: StoreView
@@ -50,8 +50,8 @@
     losses: LossCheck
     formations: Formations
     dissolutions: Dissolutions
-    loops: CrashLoops
-    lost: LostGroups = attrs.field(factory=LostGroups)
+    crash_loops: CrashLoops
+    lost_groups: LostGroups = attrs.field(factory=LostGroups)
     _known_members: dict[Key, dict[int, BackendServer]] = attrs.field(factory=dict)
     _restarted: set[Key] = attrs.field(factory=set)
     """Groups in which a member has restarted. A late join order can give the later
@@ -63,7 +63,7 @@
     _clearing: set[Key] = attrs.field(factory=set)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
 
-    def tend(self, layout: Layout, group: ReplicaGroup) -> bool:
+    def advance(self, layout: Layout, group: ReplicaGroup) -> bool:
         """Advance a group.
 
         Returns:
@@ -85,9 +85,9 @@
                 return False
             case GroupCondition.SERVING:
                 self._serving_since_s.setdefault(group.key, self.timer.now_s())
-                if self.formations.opened(group.key):
-                    self.loops.record_opened(group.model)
-                    self.lost.record_opened(group.model)
+                if self.formations.mark_opened(group.key):
+                    self.crash_loops.record_opened(group.model)
+                    self.lost_groups.record_opened(group.model)
             case GroupCondition.COMPLETE:
                 self.formations.open(group)
             case GroupCondition.LEAVING:
@@ -173,12 +173,12 @@
         pace = max(
             (slow.get(m.backend_id, 1.0) for m in group.members.values()), default=1.0
         )
-        if pace < USELESS_PACE:
+        if pace < MAX_MEMBER_PACE:
             return False
         heads = self.view.directory.open_heads(group.head.service, group.model)
         return any(
             h.membership.key != group.key
-            and not self.dissolutions.is_held(h.membership.key)
+            and not self.dissolutions.is_dissolving(h.membership.key)
             for h in heads
         )
 
@@ -220,7 +220,7 @@
             if 0 not in known or now_s - since_s >= UNLISTED_HEAD_GRACE_S:
                 return False
         for member in absent:
-            self.losses.ask(member)
+            self.losses.check(member)
         return bool(absent)
 
     def dissolve(
@@ -240,8 +240,8 @@
             is_lost: Whether the group counts as missing until it is replaced.
         """
         served = group.key in self._serving_since_s
-        if is_lost and served and not self.dissolutions.is_held(group.key):
-            self.lost.record_lost(group.model, self.timer.now_s())
+        if is_lost and served and not self.dissolutions.is_dissolving(group.key):
+            self.lost_groups.record_lost(group.model, self.timer.now_s())
         members = {**self._known_members.get(group.key, {}), **group.members}
         complete = ReplicaGroup(group.name, group.epoch, members)
         self.dissolutions.begin(complete, reason, finishes_work=finishes_work)
@@ -251,7 +251,7 @@
     def _record_failure(self, group: ReplicaGroup) -> None:
         """Record a failed formation and the members that had joined."""
         joined = frozenset(m.backend_id for m in group.members.values())
-        self.loops.record_abandoned(group.model, joined)
+        self.crash_loops.record_abandoned(group.model, joined)
 
     def _advance_forming(
         self, group: ReplicaGroup, status: GroupStatus, model: ModelProfile
@@ -290,7 +290,7 @@
             if not self.losses.dead.isdisjoint(formation.member_ids)
         ]
 
-    def give_up(self, key: Key, group: ReplicaGroup | None) -> None:
+    def abandon_formation(self, key: Key, group: ReplicaGroup | None) -> None:
         """Abandon a formation, so that its members can join another group.
 
         Args:
@@ -303,7 +303,7 @@
         log_event("group_late", group=key[0], epoch=key[1])
         for member in formation.plan.members:
             if group is None or member.membership is None:
-                self.losses.ask(member)
+                self.losses.check(member)
         if group is not None:
             self._record_failure(group)
             self.dissolve(group, "not ready in time")
@@ -318,7 +318,7 @@
         return [
             ReplicaGroup(*key, dict(self._known_members[key]))
             for key in self._serving_since_s
-            if key in self._known_members and not self.dissolutions.is_held(key)
+            if key in self._known_members and not self.dissolutions.is_dissolving(key)
         ]
 
     def check_suspicions(self, groups: dict[Key, ReplicaGroup]) -> None:
@@ -335,12 +335,12 @@
             if group is None or key in self.dissolutions.released:
                 self._clear_suspicion(key)
                 continue
-            if self.dissolutions.is_held(key):
+            if self.dissolutions.is_dissolving(key):
                 continue
             members = list(group.members.values())
             since_s = self._suspected_since_s.setdefault(key, self.timer.now_s())
             for member in members:
-                self.losses.ask(member, since_s)
+                self.losses.check(member, since_s)
             if any(m.backend_id in self.losses.dead for m in members):
                 self.dissolve(group, f"suspected by {suspicion.node_name}")
             elif all(self.losses.is_alive(m.backend_id, since_s) for m in members):
@@ -364,7 +364,7 @@
 
     def forget(self) -> None:
         """Clear the state from this node's time as the planner."""
-        self.lost.forget()
+        self.lost_groups.forget()
         self._restarted.clear()
         self._leftover_since_s.clear()
         self._serving_since_s.clear()
--- a/packages/placement/src/fordhatch/placement/_layout.py
+++ b/packages/placement/src/fordhatch/placement/_layout.py
@@ -9,7 +9,7 @@
 
 from fordhatch.catalog import BackendServer, EngineProfile, ModelProfile
 
-from ._demand_book import declared_busy_groups
+from ._demand_estimator import declared_busy_groups
 from ._group_need import group_need
 
 REJOIN_S = 0.2
@@ -51,7 +51,7 @@
     profile: EngineProfile
     last_model: Mapping[str, str]
     """Model of each backend server's last group."""
-    held_off: frozenset[str] = frozenset()
+    paused_models: frozenset[str] = frozenset()
     """Models for which forming groups is paused."""
     counts: Counter[str] = attrs.field(factory=Counter)
     """Groups by model, including those that are being formed."""
@@ -83,7 +83,7 @@
         self.counts[model] += 1
         self.counts_by_domain[domain, model] += 1
 
-    def with_more(self, groups: Counter[str]) -> Layout:
+    def with_added_groups(self, groups: Counter[str]) -> Layout:
         """Return a copy of the layout with additional groups."""
         return attrs.evolve(self, counts=self.counts + groups)
 
@@ -210,7 +210,7 @@
             self._plans[key] = _plan(layout, model, self._domains[domain])
         return self._plans[key]
 
-    def take(self, plan: GroupPlan) -> None:
+    def remove_members(self, plan: GroupPlan) -> None:
         """Remove the members of a group that is being formed."""
         domain = plan.members[0].domain
         taken = {m.backend_id for m in plan.members}
@@ -256,7 +256,7 @@
     models = tuple(
         m
         for m in layout.profile.models
-        if only_model in (None, m.name) and m.name not in layout.held_off
+        if only_model in (None, m.name) and m.name not in layout.paused_models
     )
     return _best_plan(layout, free, models, may_load=is_first_layout)
 
@@ -285,7 +285,7 @@
     lacking = [
         m
         for m in layout.profile.models
-        if layout.lacks(m) and m.name not in layout.held_off
+        if layout.lacks(m) and m.name not in layout.paused_models
     ]
     lacking.sort(key=lambda m: m.size, reverse=True)
     return lacking
--- a/packages/placement/src/fordhatch/placement/_load_budget.py
+++ b/packages/placement/src/fordhatch/placement/_load_budget.py
@@ -21,7 +21,7 @@
     window_s: float
     _started_s: deque[float] = attrs.field(factory=deque)
 
-    def take(self, loads_per_s: float, count: int) -> bool:
+    def try_reserve(self, loads_per_s: float, count: int) -> bool:
         """Reserve loads if the rate allows them.
 
         Args:
@@ -40,7 +40,7 @@
         self._started_s.extend([now_s] * count)
         return True
 
-    def fill(self, loads_per_s: float) -> None:
+    def mark_used(self, loads_per_s: float) -> None:
         """Mark the window as used up by an earlier planner."""
         count = int(loads_per_s * self.window_s * USED_FRACTION)
         self._started_s.extend([self.timer.now_s()] * count)
--- a/packages/placement/src/fordhatch/placement/_loss_check.py
+++ b/packages/placement/src/fordhatch/placement/_loss_check.py
@@ -44,7 +44,7 @@
             since_s = self.timer.now_s() - RECHECK_INTERVAL_S
         return self._last_answered_s.get(backend_id, -math.inf) >= since_s
 
-    def ask(self, backend: BackendServer, since_s: float | None = None) -> None:
+    def check(self, backend: BackendServer, since_s: float | None = None) -> None:
         """Probe a backend server, unless it answered a probe sent after ``since_s``."""
         backend_id = backend.backend_id
         known = self.is_alive(backend_id, since_s) or backend_id in self.dead
@@ -80,7 +80,7 @@
         await self.timer.sleep(RECHECK_INTERVAL_S)
         if backend.backend_id in self.dead and backend.backend_id not in self.replaced:
             self.dead.discard(backend.backend_id)
-            self.ask(backend)
+            self.check(backend)
 
     def keep_only(self, backend_ids: set[str]) -> None:
         """Forget the findings about all other backend servers."""
--- a/packages/placement/src/fordhatch/placement/_lost_groups.py
+++ b/packages/placement/src/fordhatch/placement/_lost_groups.py
@@ -59,7 +59,7 @@
         """Return the average number of missing groups of each model."""
         return Counter(self._missing)
 
-    def beyond_chance(self) -> Counter[str]:
+    def missing_beyond_one_loss(self) -> Counter[str]:
         """Return the average number of missing groups, less the effect of one loss.
 
         A single loss does not indicate a rate of losses. Without this correction,
--- a/packages/placement/src/fordhatch/placement/_planner.py
+++ b/packages/placement/src/fordhatch/placement/_planner.py
@@ -20,13 +20,13 @@
 from fordhatch.registry import BACKENDS_GATHER_S, ReplicaGroup, StoreView
 
 from ._crash_loops import CrashLoops
-from ._crash_record_care import CrashRecordCare
-from ._demand_book import DemandBook
+from ._crash_record_cleaner import CrashRecordCleaner
+from ._demand_estimator import DemandEstimator
 from ._dissolutions import Dissolutions
 from ._formations import Formations
 from ._group_builder import GroupBuilder
-from ._group_care import USELESS_PACE, GroupCare
 from ._group_recorder import GroupRecorder
+from ._group_supervisor import MAX_MEMBER_PACE, GroupSupervisor
 from ._layout import Layout
 from ._load_budget import LoadBudget
 from ._loss_check import LossCheck
@@ -84,12 +84,12 @@
     dissolutions: Dissolutions
     loads: LoadBudget
     staging: Staging
-    care: GroupCare
+    supervisor: GroupSupervisor
     recorder: GroupRecorder
     slow: SlowBackends
-    crash_records: CrashRecordCare
-    loops: CrashLoops
-    demand: DemandBook
+    crash_records: CrashRecordCleaner
+    crash_loops: CrashLoops
+    demand: DemandEstimator
     builder: GroupBuilder = attrs.field(init=False)
     last_model: dict[str, str] = attrs.field(factory=dict)
     """Model of each backend server's last group."""
@@ -126,8 +126,10 @@
         dissolutions = Dissolutions(
             order_sender, losses, directory, timer, bounds.stall_s
         )
-        loops = CrashLoops(timer)
-        care = GroupCare(view, store, timer, losses, formations, dissolutions, loops)
+        crash_loops = CrashLoops(timer)
+        supervisor = GroupSupervisor(
+            view, store, timer, losses, formations, dissolutions, crash_loops
+        )
         planner = cls(
             view,
             lease,
@@ -142,15 +144,15 @@
             dissolutions,
             loads,
             Staging(order_sender, loads, timer),
-            care,
+            supervisor,
             GroupRecorder(store, view.shared, timer),
             SlowBackends(view, store, backends, timer),
-            CrashRecordCare(view, store, timer),
-            loops,
-            DemandBook(),
+            CrashRecordCleaner(view, store, timer),
+            crash_loops,
+            DemandEstimator(),
         )
         planner.builder = GroupBuilder(
-            care, formations, dissolutions, timer, planner.next_epoch
+            supervisor, formations, dissolutions, timer, planner.next_epoch
         )
         directory.subscribe_changes(planner._record_model)
         directory.subscribe_ends(planner._handle_termination)
@@ -179,7 +181,7 @@
             # The previous planner may have just used up the load window.
             configuration = self.view.configuration.current
             for service in configuration.engine_services() if configuration else ():
-                self.loads.fill(service.engine.loads_per_s)
+                self.loads.mark_used(service.engine.loads_per_s)
 
     def _stop_leading(self) -> None:
         self._is_leading = False
@@ -189,8 +191,8 @@
         self.losses.forget()
         self.order_sender.forget()
         self.staging.forget()
-        self.care.forget()
-        self.loops.forget()
+        self.supervisor.forget()
+        self.crash_loops.forget()
         self.demand.forget()
         self.builder.forget()
 
@@ -227,7 +229,7 @@
         is_slow_step = self._is_slow_step_due()
         now_s = self.timer.now_s()
         self.demand.step(len(self.view.shared.nodes), now_s)
-        self.care.lost.step(now_s)
+        self.supervisor.lost_groups.step(now_s)
         for service in configuration.engine_services():
             self._plan_service(service, is_slow_step=is_slow_step)
         self.slow.step()
@@ -237,11 +239,13 @@
     def _plan_service(self, service: Service, *, is_slow_step: bool) -> None:
         directory = self.view.directory
         groups = directory.groups(service.name)
-        self.care.check_suspicions(groups)
-        self.loops.step(self.losses.dead)
-        layout = Layout(service.engine, self.last_model, self.loops.held_off())
+        self.supervisor.check_suspicions(groups)
+        self.crash_loops.step(self.losses.dead)
+        layout = Layout(
+            service.engine, self.last_model, self.crash_loops.paused_models()
+        )
         layout.count_backends(self._usable(service))
-        layout.missing = self.care.lost.beyond_chance()
+        layout.missing = self.supervisor.lost_groups.missing_beyond_one_loss()
         layout.busy_groups = self.demand.busy_groups(
             service.name, service.engine, layout.backends
         )
@@ -253,12 +257,12 @@
             key = group.key
             if key in self.dissolutions.released:
                 continue
-            is_dissolving = self.dissolutions.is_held(key)
-            if not is_dissolving and self.care.tend(layout, group):
+            is_dissolving = self.dissolutions.is_dissolving(key)
+            if not is_dissolving and self.supervisor.advance(layout, group):
                 layout.add(group.model, group.head.domain if group.head else "")
                 kept.append(group)
-        for key in (*self.formations.step(groups), *self.care.lost_formations()):
-            self.care.give_up(key, groups.get(key))
+        for key in (*self.formations.step(groups), *self.supervisor.lost_formations()):
+            self.supervisor.abandon_formation(key, groups.get(key))
         for key, formation in self.formations.active.items():
             if key not in groups:
                 layout.add(formation.plan.model.name, formation.plan.members[0].domain)
@@ -284,7 +288,7 @@
         free = self.builder.step(
             layout, free, kept, is_first_layout=first, may_convert=may_convert
         )
-        self.dissolutions.free_leftovers(self.formations.member_ids())
+        self.dissolutions.order_remaining_to_leave(self.formations.member_ids())
         if first or is_slow_step:
             grouped = [b for b in usable if b.backend_id in assigned]
             self.staging.discard_finished(usable)
@@ -295,7 +299,7 @@
         busy = layout.busy_groups or {}
         for model, work in busy.items():
             metrics.MODEL_BUSY_GROUPS.labels(service.name, model).set(work)
-        if not self.demand.has_moved(service.name, busy):
+        if not self.demand.has_changed(service.name, busy):
             return
         for model in service.engine.models:
             log_event(
@@ -335,7 +339,7 @@
         """Return the backend servers of a service that are ready, alive and fast."""
         dead = self.losses.dead
         slow = self.view.shared.slow
-        useless = {b for b, pace in slow.items() if pace >= USELESS_PACE}
+        useless = {b for b, pace in slow.items() if pace >= MAX_MEMBER_PACE}
         return [
             b
             for b in self.view.directory.index.of_service(service.name)
@@ -369,13 +373,13 @@
         if len(self.last_model) > len(listed) + MAX_REMEMBERED_BACKENDS:
             self.last_model = {b: m for b, m in self.last_model.items() if b in listed}
         reported = directory.index.group_keys()
-        self.recorder.step(self.care.serving(), reported)
+        self.recorder.step(self.supervisor.serving(), reported)
         self.dissolutions.released &= reported
         kept = set(self.dissolutions.active) | set(self.formations.active) | reported
-        members = self.care.keep_only(kept) | self.dissolutions.member_ids()
+        members = self.supervisor.keep_only(kept) | self.dissolutions.member_ids()
         self.losses.keep_only(listed | members | self.formations.member_ids())
 
-    def take_bounds(self, bounds: SystemBounds) -> None:
+    def apply_bounds(self, bounds: SystemBounds) -> None:
         """Apply changed system bounds."""
         self.bounds = bounds
         self.dissolutions.stall_s = bounds.stall_s
@@ -385,7 +389,7 @@
         """Cancel pending tasks."""
         await self.order_sender.close()
         await self.losses.close()
-        await self.care.close()
+        await self.supervisor.close()
         await self.recorder.close()
         await self.slow.close()
         await self.crash_records.close()
--- a/packages/placement/src/fordhatch/placement/_planner_lease.py
+++ b/packages/placement/src/fordhatch/placement/_planner_lease.py
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen
-class HolderNews:
+class LeaseHolderStatus:
     """State of the lease as reported by a node."""
 
     is_holder: bool
@@ -95,7 +95,7 @@
     node_names: Callable[[], set[str]]
     """Returns the names of the known nodes, which give the order of candidates."""
     is_leaving: Callable[[], bool]
-    query_holder: Callable[[str], Awaitable[HolderNews | None]] | None = None
+    query_holder: Callable[[str], Awaitable[LeaseHolderStatus | None]] | None = None
     """Queries a node for the state of the lease without a call to the store; returns
     None if the node does not answer."""
     epoch_base: int = 0
--- a/packages/placement/src/fordhatch/placement/_staging.py
+++ b/packages/placement/src/fordhatch/placement/_staging.py
@@ -164,7 +164,7 @@
         model: ModelProfile,
         are_loads_free: bool,
     ) -> None:
-        if not are_loads_free and not self.loads.take(profile.loads_per_s, 1):
+        if not are_loads_free and not self.loads.try_reserve(profile.loads_per_s, 1):
             return
         until_s = self.timer.now_s() + LOAD_TIMEOUT_FACTOR * model.load_s
         self._active[backend.backend_id] = _Load(model.name, until_s)
--- a/packages/placement/tests/planning_site.py
+++ b/packages/placement/tests/planning_site.py
@@ -195,7 +195,7 @@
             await node.kill()
 
 
-def play(scenario: Callable[[Site], Awaitable[None]], seed: int = 1) -> None:
+def run_scenario(scenario: Callable[[Site], Awaitable[None]], seed: int = 1) -> None:
     """Run a scenario on a virtual clock."""
 
     async def run_and_check() -> None:
--- a/packages/placement/tests/test_crash_loops.py
+++ b/packages/placement/tests/test_crash_loops.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from planning_site import Site, engines_of, play, standard_site
+from planning_site import Site, engines_of, run_scenario, standard_site
 
 from fordhatch.core import Timer
 from fordhatch.placement._crash_loops import (
@@ -21,22 +21,22 @@
     loops = CrashLoops(Timer())
     for _ in range(MAX_CONSECUTIVE_FAILURES - 1):
         loops.record_failure("m")
-    assert loops.held_off() == frozenset()
+    assert loops.paused_models() == frozenset()
     loops.record_failure("m")
-    assert loops.held_off() == {"m"}
+    assert loops.paused_models() == {"m"}
     now[0] += FIRST_PAUSE_S + 0.1
-    assert loops.held_off() == frozenset()
+    assert loops.paused_models() == frozenset()
     loops.record_failure("m")
     now[0] += FIRST_PAUSE_S + 0.1
-    assert loops.held_off() == {"m"}
+    assert loops.paused_models() == {"m"}
     for _ in range(20):
         loops.record_failure("m")
     now[0] += MAX_PAUSE_S - 0.1
-    assert loops.held_off() == {"m"}
+    assert loops.paused_models() == {"m"}
     loops.record_opened("m")
-    assert loops.held_off() == frozenset()
+    assert loops.paused_models() == frozenset()
     loops.record_failure("m")
-    assert loops.held_off() == frozenset()
+    assert loops.paused_models() == frozenset()
 
 
 def test_a_model_that_crashes_its_members_leaves_the_others_alone() -> None:
@@ -52,7 +52,7 @@
         assert 2 * MAX_CONSECUTIVE_FAILURES <= site.fleet.ended_on_join <= 30
         assert len(engines_of(site, "big")) >= big
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_repaired_model_is_served_again() -> None:
@@ -65,4 +65,4 @@
         site.fleet.ends_on_join.clear()
         await site.until(lambda: len(engines_of(site, "small")) >= 2, MAX_PAUSE_S)
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_crash_record_care.py
+++ b/packages/placement/tests/test_crash_record_care.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fordhatch.placement._crash_record_care import MAX_ROWS, RETENTION_S, outdated
+from fordhatch.placement._crash_record_cleaner import MAX_ROWS, RETENTION_S, outdated
 from fordhatch.registry import CrashRecord, RunStage
 
 
--- a/packages/placement/tests/test_demand_book.py
+++ b/packages/placement/tests/test_demand_book.py
@@ -9,7 +9,7 @@
 from test_layout import PROFILE
 
 from fordhatch.catalog import ModelDemand
-from fordhatch.placement import DemandBook
+from fordhatch.placement import DemandEstimator
 
 NODES = 89
 BIG, SMALL = ("llm", "big"), ("llm", "small")
@@ -25,7 +25,7 @@
 
 
 def record_reports(
-    book: DemandBook, big: float, small: float, from_s: float, until_s: float
+    book: DemandEstimator, big: float, small: float, from_s: float, until_s: float
 ) -> None:
     """Record the same report from sixteen of the nodes every 0.4 s."""
     steps = round((until_s - from_s) / STEP_S)
@@ -34,16 +34,16 @@
         if step % 8 == 0:
             for index in range(16):
                 name = f"n{(step * 2 + index) % NODES}"
-                book.heard(name, node_report(big, small), now_s)
+                book.record_report(name, node_report(big, small), now_s)
         book.step(NODES, now_s)
 
 
-def busy_groups(book: DemandBook) -> dict[str, float]:
+def busy_groups(book: DemandEstimator) -> dict[str, float]:
     return book.busy_groups("llm", PROFILE, 48)
 
 
 def test_a_sample_of_nodes_stands_for_all() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     record_reports(book, 24.0, 158.0, 0.0, 4.0)
     found = busy_groups(book)
     assert found["big"] == pytest.approx(2.4, rel=0.15)
@@ -51,7 +51,7 @@
 
 
 def test_a_burst_shows_within_two_seconds_and_lasts_for_some() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     record_reports(book, 24.0, 60.0, 0.0, 5.0)
     before = busy_groups(book)["small"]
     record_reports(book, 24.0, 160.0, 5.0, 7.0)
@@ -64,7 +64,7 @@
 
 
 def test_declared_shares_decide_while_there_are_few_requests() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     declared = busy_groups(book)
     record_reports(book, 0.1, 0.4, 0.0, 4.0)
     for model, busy in busy_groups(book).items():
@@ -74,28 +74,28 @@
 def test_declared_numbers_of_groups_take_precedence_over_demand() -> None:
     models = tuple(attrs.evolve(m, wanted_groups=3) for m in PROFILE.models)
     profile = attrs.evolve(PROFILE, models=models)
-    book = DemandBook()
+    book = DemandEstimator()
     record_reports(book, 24.0, 158.0, 0.0, 4.0)
     busy = book.busy_groups("llm", profile, 48)
     assert busy["big"] == busy["small"]
 
 
 def test_groups_are_not_moved_on_the_first_reports() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     assert not book.is_trusted(10.0)
-    book.heard("n1", node_report(24.0, 158.0), 10.5)
+    book.record_report("n1", node_report(24.0, 158.0), 10.5)
     assert not book.is_trusted(11.0)
     assert book.is_trusted(12.0)
 
 
 def test_declared_shares_are_used_without_reports() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     assert not book.is_trusted(10.0)
     assert book.is_trusted(13.5)
 
 
 def test_a_new_planner_starts_without_an_estimate() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     declared = busy_groups(book)
     record_reports(book, 24.0, 158.0, 0.0, 4.0)
     book.forget()
@@ -104,16 +104,16 @@
 
 
 def test_waves_are_not_logged() -> None:
-    book = DemandBook()
-    assert book.has_moved("llm", {"big": 2.0, "small": 8.0})
-    assert not book.has_moved("llm", {"big": 2.3, "small": 7.0})
-    assert book.has_moved("llm", {"big": 2.3, "small": 12.0})
+    book = DemandEstimator()
+    assert book.has_changed("llm", {"big": 2.0, "small": 8.0})
+    assert not book.has_changed("llm", {"big": 2.3, "small": 7.0})
+    assert book.has_changed("llm", {"big": 2.3, "small": 12.0})
 
 
 def test_models_without_requests_are_dropped() -> None:
-    book = DemandBook()
+    book = DemandEstimator()
     record_reports(book, 24.0, 158.0, 0.0, 2.0)
-    book.heard("n1", {("llm", "gone"): ModelDemand(5.0, 0.5)}, 2.0)
+    book.record_report("n1", {("llm", "gone"): ModelDemand(5.0, 0.5)}, 2.0)
     book.step(NODES, 2.0)
     record_reports(book, 24.0, 158.0, 2.0, 120.0)
     assert set(book._averages) == {BIG, SMALL}
@@ -122,7 +122,7 @@
 def test_noise_does_not_count_as_a_burst() -> None:
     """Few requests at each node, with exponentially distributed work."""
     rng = random.Random(5)
-    book = DemandBook()
+    book = DemandEstimator()
     estimates = []
     for step in range(1200):
         now_s = step * STEP_S
@@ -131,7 +131,7 @@
                 count = sum(rng.random() < 24.0 / NODES / 4 for _ in range(4))
                 busy = sum(rng.expovariate(10.0) for _ in range(count))
                 demand = {BIG: ModelDemand(float(count), busy)}
-                book.heard(f"n{(step * 2 + index) % NODES}", demand, now_s)
+                book.record_report(f"n{(step * 2 + index) % NODES}", demand, now_s)
         book.step(NODES, now_s)
         if now_s > 10.0:
             estimates.append(book._averages[BIG].estimate.busy_groups)
--- a/packages/placement/tests/test_healing.py
+++ b/packages/placement/tests/test_healing.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import pytest
-from planning_site import Site, engines_of, head_and_member, play, standard_site
+from planning_site import Site, engines_of, head_and_member, run_scenario, standard_site
 
 from fordhatch.adapter import BACKENDS_TABLE, GroupOrder, OrderKind
-from fordhatch.placement._group_care import UNLISTED_HEAD_GRACE_S
+from fordhatch.placement._group_supervisor import UNLISTED_HEAD_GRACE_S
 from fordhatch.registry import SHARED_TABLE, slow_key
 
 
@@ -27,7 +27,7 @@
         assert took_s < 3.6 + 2.6
         assert site.fleet.loads - loads <= 8
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_keeps_serving_when_a_member_only_loses_the_store() -> None:
@@ -39,7 +39,7 @@
         await site.watch(10)
         assert {e.place.group for e in engines_of(site, "big")} == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_whose_member_has_left_is_dissolved() -> None:
@@ -61,7 +61,7 @@
         # The head would break only after 5 s.
         assert took_s < 3.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_survivors_of_two_broken_groups_form_one() -> None:
@@ -77,7 +77,7 @@
         )
         assert len({head.place.group for head in heads}) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_recovered_dark_domain_serves_again() -> None:
@@ -96,7 +96,7 @@
         took_s = await site.until(lambda: site.working() >= before, 30)
         assert took_s < 6.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_unlisted_head_finishes_its_streams() -> None:
@@ -111,7 +111,7 @@
         await site.until(lambda: head.place is None, 3)
         await site.until(lambda: site.working() >= before - 1, 5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_whose_head_is_soon_listed_again_is_kept() -> None:
@@ -125,7 +125,7 @@
         await site.watch(3)
         assert head.place == place
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_unlisted_head_that_does_not_answer_is_given_up_early() -> None:
@@ -137,7 +137,7 @@
         took_s = await site.until(lambda: member.place is None, 8)
         assert took_s < UNLISTED_HEAD_GRACE_S - 0.3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_dead_spare_that_is_still_listed_delays_a_formation_briefly() -> None:
@@ -166,7 +166,7 @@
         site.fleet._publish(alive)
         assert await site.until(lambda: site.working() >= before, 5) < 2.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_survivors_of_a_released_group_are_free_for_the_next_planner() -> None:
@@ -194,7 +194,7 @@
         site.fleet._publish(spare)
         assert await site.until(lambda: site.working() > before, 8) < 3.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_new_planner_knows_the_lost_head_of_a_single_survivor() -> None:
@@ -217,7 +217,7 @@
         # The lease expires; a join and an opening follow.
         assert took_s < 4.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_slow_member_is_polled_until_it_has_recovered() -> None:
@@ -237,7 +237,7 @@
         member.slow_factor = 1.0
         await site.until(lambda: not shared.slow, 2.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_the_row_of_an_unlisted_slow_backend_is_removed() -> None:
@@ -248,7 +248,7 @@
         await site.until(lambda: "i-gone" in shared.slow, 2)
         await site.until(lambda: not shared.slow, 2.5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_slow_member_joins_no_group_until_it_has_recovered() -> None:
@@ -271,7 +271,7 @@
         await site.until(lambda: not site.planner().view.shared.slow, 2.5)
         await site.watch(3)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_the_last_group_of_a_model_keeps_serving_with_a_slow_member() -> None:
@@ -285,4 +285,4 @@
         await site.watch(6)
         assert head.place == place
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_lease_over_restores.py
+++ b/packages/placement/tests/test_lease_over_restores.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from planning_site import MemoryStoreClient, Site, StoreModel, play
+from planning_site import MemoryStoreClient, Site, StoreModel, run_scenario
 
 from fordhatch.core import TaskSet, Timer
 from fordhatch.placement import PlannerLease
@@ -202,4 +202,4 @@
         assert {e.place.epoch for e in site.fleet.engines.values()} == epochs
         assert site.working() == 3
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_lost_groups.py
+++ b/packages/placement/tests/test_lost_groups.py
@@ -60,10 +60,10 @@
     lost_groups.record_lost("m", 0.0)
     for step in range(1, 80):
         lost_groups.step(step * 0.05)
-        assert lost_groups.beyond_chance()["m"] == 0.0
+        assert lost_groups.missing_beyond_one_loss()["m"] == 0.0
 
 
 def test_steady_losses_count_beyond_chance() -> None:
     lost_groups = LostGroups()
     lose_steadily(lost_groups, 1.5, 3.0)
-    assert lost_groups.beyond_chance()["m"] > 1.0
+    assert lost_groups.missing_beyond_one_loss()["m"] > 1.0
--- a/packages/placement/tests/test_model_changes.py
+++ b/packages/placement/tests/test_model_changes.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from planning_site import Site, engine_configuration, play, standard_site
+from planning_site import Site, engine_configuration, run_scenario, standard_site
 
 from fordhatch.adapter import CONFIGURATION_KEY, OPERATOR_TABLE
 from fordhatch.catalog import BackendServer, ModelDemand
@@ -35,7 +35,7 @@
         await declare_newer_model(site)
         await site.until(lambda: "big" not in site.fleet.working_groups(), 120)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_conversion_gets_the_members_that_were_given_up_for_it(
@@ -63,7 +63,7 @@
         await standard_site(site, domains=2, nodes=1)
         await declare_newer_model(site)
 
-    play(scenario)
+    run_scenario(scenario)
     assert formed
     assert all(formed)
 
@@ -73,7 +73,7 @@
     demand = {("llm", m): ModelDemand(100.0, busy) for m, busy in work.items()}
     for _ in range(round(for_s / 0.2)):
         for node in site.nodes.values():
-            node.planner.demand.heard(
+            node.planner.demand.record_report(
                 node.name, demand, asyncio.get_running_loop().time()
             )
         await site.watch(0.2)
@@ -93,7 +93,7 @@
         after = site.fleet.working_groups()
         assert abs(after["big"] - calm["big"]) <= 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_burst_does_not_convert_one_of_two_groups() -> None:
@@ -103,7 +103,7 @@
         await report_demand(site, {"big": 0.6, "small": 4.0}, 8.0)
         assert site.fleet.working_groups()["big"] == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_alternating_demand_moves_hardly_any_group() -> None:
@@ -117,4 +117,4 @@
         kept = {e.place.epoch for e in site.fleet.engines.values() if e.place}
         assert len(epochs - kept) <= 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_planner.py
+++ b/packages/placement/tests/test_planner.py
@@ -10,7 +10,7 @@
 from planning_site import (
     Site,
     head_and_member,
-    play,
+    run_scenario,
     standard_site,
 )
 from result import Err
@@ -33,7 +33,7 @@
         await site.until(lambda: site.working() >= 16, 25)
         assert site.fleet.working_groups() == {"big": 8, "small": 8}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_members_of_an_unreachable_head_wait_until_it_must_be_broken() -> None:
@@ -53,7 +53,7 @@
         )
         assert head.place.state == "broken"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @attrs.define
@@ -101,7 +101,7 @@
         site.fleet.drain(member)
         await site.watch(6)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("model", ["big", "small"])
@@ -123,7 +123,7 @@
         planner.backends.is_cut = False
         await site.watch(12)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def have_members_left(site: Site, group: str, but: EngineModel) -> bool:
@@ -149,7 +149,7 @@
             lambda: spare.place is not None and spare.place.state != "joining", 4
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_serves_on_until_its_draining_member_is_gone() -> None:
@@ -163,7 +163,7 @@
         site.fleet.kill(member)
         await site.until(lambda: have_members_left(site, group, member), 6)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_with_a_draining_head_is_dissolved_at_once() -> None:
@@ -178,7 +178,7 @@
         site.fleet._publish(spare)
         await site.until(lambda: member.place.group != group, 3)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_loads_run_a_few_at_a_time_so_that_groups_form_one_by_one() -> None:
@@ -189,7 +189,7 @@
         await site.watch(10)
         assert 0 < site.fleet.loads_running() <= 6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("how", ["kill", "freeze", "turned_away", "release"])
@@ -211,7 +211,7 @@
         took_s = await site.until(lambda: site.planner() not in (None, first), 6)
         assert took_s < 3.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_restarted_planner_resumes_at_once() -> None:
@@ -224,7 +224,7 @@
         took_s = await site.until(lambda: site.planner() is not None, 6)
         assert took_s < 0.2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_new_planner_keeps_groups_that_serve_or_are_forming() -> None:
@@ -241,7 +241,7 @@
             e.place.group for e in site.fleet.engines.values() if e.place is not None
         }
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_load_started_by_an_earlier_planner_is_not_repeated() -> None:
@@ -263,7 +263,7 @@
         await site.until(lambda: site.working() == 1, 25)
         assert site.fleet.loads == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_member_that_still_loads_does_not_count_as_having_served() -> None:
@@ -286,7 +286,7 @@
         await site.until(lambda: site.working() == 1, 25)
         assert set(node.planner.last_model.values()) == {"small"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_loads_stay_below_the_ceiling_when_many_empty_engines_register() -> None:
@@ -300,7 +300,7 @@
         # throughout.
         assert site.fleet.loads - before >= 18
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_delayed_order_does_not_move_a_member() -> None:
@@ -317,7 +317,7 @@
         assert member.take(stale_leave) == 200
         assert member.place is before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_no_orders_are_sent_during_a_store_outage() -> None:
@@ -334,7 +334,7 @@
         site.store.faults.is_down = False
         await site.until(lambda: site.planner() is not None, 5)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_orders_of_a_new_holder_have_a_higher_token_and_stop_the_old_one() -> None:
@@ -363,7 +363,7 @@
         assert head.place is place
         assert not old.lease.is_held()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_term_has_one_token_and_a_restart_a_higher_one() -> None:
@@ -380,7 +380,7 @@
         await site.until(again.lease.is_held, 5)
         assert again.lease.fencing_token > token
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_lease_polls_hardly_grow_with_the_number_of_nodes() -> None:
@@ -395,4 +395,4 @@
         assert sum(rates) < 2 / 0.45 + 2 * 4 + 1
         assert max(1 / rate for rate in rates[:6]) < 3
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_planner_lease.py
+++ b/packages/placement/tests/test_planner_lease.py
@@ -7,7 +7,7 @@
 from planning_site import MemoryStoreClient, StoreModel
 
 from fordhatch.core import TaskSet, Timer
-from fordhatch.placement import HolderNews, PlannerLease
+from fordhatch.placement import LeaseHolderStatus, PlannerLease
 from fordhatch_lab import run_in_virtual_time
 
 NODES = [f"n{index:02d}" for index in range(40)]
@@ -18,7 +18,7 @@
 ) -> tuple[PlannerLease, MemoryStoreClient]:
     client = MemoryStoreClient(store, name)
 
-    async def query_holder(holder: str) -> HolderNews | None:
+    async def query_holder(holder: str) -> LeaseHolderStatus | None:
         return None
 
     lease = PlannerLease(
--- a/packages/placement/tests/test_random_faults.py
+++ b/packages/placement/tests/test_random_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from planning_site import Site, play, standard_site
+from planning_site import Site, run_scenario, standard_site
 
 FAULT_KINDS = [
     "kill",
@@ -72,4 +72,4 @@
         await site.watch(25)
         assert site.working() > 0
 
-    play(scenario, seed)
+    run_scenario(scenario, seed)
--- a/packages/placement/tests/test_restarts.py
+++ b/packages/placement/tests/test_restarts.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import pytest
-from planning_site import Site, engines_of, head_and_member, play, standard_site
+from planning_site import Site, engines_of, head_and_member, run_scenario, standard_site
 
 from fordhatch.adapter import BACKENDS_TABLE, GroupOrder, OrderKind
 from fordhatch.registry import (
@@ -61,7 +61,7 @@
         assert took_s < REPLACED_WITHIN_S
         assert group not in {group_of(e) for e in site.fleet.engines.values()}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_join_order_for_an_earlier_start_completes_no_group() -> None:
@@ -76,7 +76,7 @@
         await site.until(lambda: site.working() >= before, 8)
         assert group_of(head) != place.group
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_new_planner_is_not_misled_by_a_late_join() -> None:
@@ -98,7 +98,7 @@
         # The head breaks 5 s after the loss, and the lease took 1.4 s to lapse.
         assert took_s < REPLACED_WITHIN_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("after_s", [0.05, 0.15, 0.3, 0.6, 1.0, 1.7, 1.9])
@@ -112,7 +112,7 @@
         site.fleet.restart(started)
         await site.until(lambda: site.working() >= before, 10)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_members_that_restart_during_an_outage_of_the_store() -> None:
@@ -127,7 +127,7 @@
         site.store.faults.is_down = False
         await site.until(lambda: site.working() >= before, 12)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_new_planner_knows_that_a_member_has_restarted() -> None:
@@ -145,7 +145,7 @@
         site.add_node("n9")
         await site.until(lambda: site.working() >= before, 10)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -168,7 +168,7 @@
         await site.watch(20)
         assert site.working() > 0
 
-    play(scenario, seed)
+    run_scenario(scenario, seed)
 
 
 def test_an_old_record_does_not_move_a_head_out_of_its_group() -> None:
@@ -202,4 +202,4 @@
         await site.watch(6)
         assert head.place is place
 
-    play(scenario)
+    run_scenario(scenario)
--- a/packages/placement/tests/test_suspended_planner.py
+++ b/packages/placement/tests/test_suspended_planner.py
@@ -6,7 +6,7 @@
 
 import attrs
 import pytest
-from planning_site import PlanningNode, Site, play, standard_site
+from planning_site import PlanningNode, Site, run_scenario, standard_site
 
 from fordhatch.core import Suspension
 
@@ -35,7 +35,7 @@
         assert not planner.lease.is_held()
         assert planner.view.configuration_age_s() >= 6.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -52,4 +52,4 @@
         assert site.working() == before
         assert site.planner() is not None
 
-    play(scenario, seed)
+    run_scenario(scenario, seed)
--- a/packages/registry/src/fordhatch/registry/__init__.py
+++ b/packages/registry/src/fordhatch/registry/__init__.py
@@ -2,21 +2,20 @@
 
 from __future__ import annotations
 
-from ._backend_directory import BackendDirectory
-from ._backend_index import BackendIndex, ReplicaGroup
-from ._configuration_in_force import (
+from ._active_configuration import (
     OPERATORS_ROW,
-    ConfigurationInForce,
+    ActiveConfiguration,
     ConfigurationRow,
 )
+from ._backend_directory import BackendDirectory
+from ._backend_index import BackendIndex, ReplicaGroup
 from ._crash_records import CrashKey, CrashRecord, RunStage, crash_key
-from ._followers import BACKENDS_GATHER_S, StoreView
 from ._group_records import GroupRecord, record_key
 from ._liveness_probe import probe
-from ._outage_evidence import NodeWord, OutageEvidence, witnesses_needed
+from ._outage_evidence import NodeReport, OutageEvidence, min_witnesses
 from ._reader_choice import NodeAddress, ReaderChoice
 from ._relay import RelayClient, RelayServer, relay_wait_s
-from ._row_keeper import RowKeeper
+from ._row_restorer import RowRestorer
 from ._shared_rows import (
     SECRET_KEY,
     SHARED_TABLE,
@@ -27,6 +26,7 @@
     slow_key,
     suspicion_key,
 )
+from ._store_view import BACKENDS_GATHER_S, StoreView
 from ._table_copy import TableCopy
 from ._table_follower import TableFollower
 from ._table_source import StoreSource, TableSource, TableUpdate
@@ -36,21 +36,21 @@
     "OPERATORS_ROW",
     "SECRET_KEY",
     "SHARED_TABLE",
+    "ActiveConfiguration",
     "BackendDirectory",
     "BackendIndex",
-    "ConfigurationInForce",
     "ConfigurationRow",
     "CrashKey",
     "CrashRecord",
     "GroupRecord",
     "NodeAddress",
-    "NodeWord",
+    "NodeReport",
     "OutageEvidence",
     "ReaderChoice",
     "RelayClient",
     "RelayServer",
     "ReplicaGroup",
-    "RowKeeper",
+    "RowRestorer",
     "RunStage",
     "SharedRows",
     "StoreSource",
@@ -61,6 +61,7 @@
     "TableSource",
     "TableUpdate",
     "crash_key",
+    "min_witnesses",
     "node_key",
     "node_value",
     "probe",
@@ -68,5 +69,4 @@
     "relay_wait_s",
     "slow_key",
     "suspicion_key",
-    "witnesses_needed",
 ]
--- a/packages/registry/src/fordhatch/registry/_configuration_in_force.py
+++ b/packages/registry/src/fordhatch/registry/_active_configuration.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class ConfigurationInForce:
+class ActiveConfiguration:
     """Holds the active configuration; its version never decreases within a process."""
 
     source: ConfigurationRow = OPERATORS_ROW
--- a/packages/registry/src/fordhatch/registry/_backend_directory.py
+++ b/packages/registry/src/fordhatch/registry/_backend_directory.py
@@ -113,12 +113,14 @@
 
     # Updates of the table.
 
-    def observe_snapshot(self, rows: Sequence[Row], *, is_return: bool = False) -> None:
+    def observe_snapshot(
+        self, rows: Sequence[Row], *, is_restore: bool = False
+    ) -> None:
         """Apply all rows of the table.
 
         Args:
             rows: The rows.
-            is_return: Whether they are the first rows of a store that was restored
+            is_restore: Whether they are the first rows of a store that was restored
                 from a backup.
         """
         is_first = not self._entries
@@ -130,18 +132,18 @@
             elif registered_id not in self._lapsed:
                 self._remove_entry(registered_id, "not listed")
         for row in rows:
-            self._add_pending(row, is_restored=is_return)
+            self._add_pending(row, is_restored=is_restore)
         if self.logs_changes and not is_first:
             self._apply_pending()
         log_event("backends_listed", backends=len(present))
         self._notify(before)
 
-    def observe_changes(self, rows: Sequence[Row], *, is_return: bool = False) -> None:
+    def observe_changes(self, rows: Sequence[Row], *, is_restore: bool = False) -> None:
         """Apply changed rows in order; see ``observe_snapshot``."""
         before = self.version
         for row in rows:
             if not row.is_removed:
-                self._add_pending(row, is_restored=is_return)
+                self._add_pending(row, is_restored=is_restore)
             elif not self._is_after_outage():
                 self._remove_entry(row.row_key.key, "removed")
             elif row.row_key.key in self._entries:
--- a/packages/registry/src/fordhatch/registry/_outage_evidence.py
+++ b/packages/registry/src/fordhatch/registry/_outage_evidence.py
@@ -32,10 +32,10 @@
 
 
 @attrs.frozen
-class NodeWord:
+class NodeReport:
     """Result of querying another node for the age of its copy."""
 
-    asked_s: float
+    sent_s: float
     """When the query was sent, in monotonic seconds of this node."""
     age_s: float | None
     """Age of its confirmation when it answered, in seconds; None without an answer."""
@@ -55,31 +55,29 @@
 class OutageEvidence:
     """The latest report of each other node."""
 
-    _reports: dict[str, NodeWord] = attrs.field(factory=dict)
+    _reports: dict[str, NodeReport] = attrs.field(factory=dict)
     _contrary_since_s: float = math.inf
     """Since when, without a gap, some node has reported a fresh copy, in monotonic
     seconds; infinite if none has."""
 
-    def note(self, node_name: str, report: NodeWord) -> None:
+    def record(self, node_name: str, report: NodeReport) -> None:
         """Record the result of querying a node."""
         self._reports[node_name] = report
         if report.is_contrary:
-            self._contrary_since_s = min(self._contrary_since_s, report.asked_s)
-        elif not any(r.is_contrary for r in self._recent(report.asked_s)):
+            self._contrary_since_s = min(self._contrary_since_s, report.sent_s)
+        elif not any(r.is_contrary for r in self._recent(report.sent_s)):
             # The nodes' confirmations are up to a second apart when an outage begins.
             self._contrary_since_s = math.inf
 
-    def _recent(self, now_s: float) -> list[NodeWord]:
-        return [
-            r for r in self._reports.values() if now_s - r.asked_s <= REPORT_VALID_S
-        ]
+    def _recent(self, now_s: float) -> list[NodeReport]:
+        return [r for r in self._reports.values() if now_s - r.sent_s <= REPORT_VALID_S]
 
-    def confirmed(self) -> None:
+    def clear(self) -> None:
         """Discard all reports, as this node's own copy is fresh again."""
         self._reports.clear()
         self._contrary_since_s = math.inf
 
-    def is_for_all(self, now_s: float, nodes: int) -> bool:
+    def is_system_wide(self, now_s: float, nodes: int) -> bool:
         """Return whether the evidence shows that no node reaches the store.
 
         Args:
@@ -92,10 +90,10 @@
         recent = self._recent(now_s)
         witnesses = sum(r.is_witness for r in recent)
         unanswered = sum(r.age_s is None for r in recent)
-        return witnesses >= max(witnesses_needed(nodes), unanswered)
+        return witnesses >= max(min_witnesses(nodes), unanswered)
 
 
-def witnesses_needed(nodes: int) -> int:
+def min_witnesses(nodes: int) -> int:
     """Return how many other nodes must have lost the store too.
 
     Together with this node they are at least half of the registered nodes, unless
--- a/packages/registry/src/fordhatch/registry/_relay.py
+++ b/packages/registry/src/fordhatch/registry/_relay.py
@@ -224,11 +224,11 @@
             self.choice.failed(reader, is_only_behind=is_old)
             if is_old and got.is_ok():
                 for follower in followers.values():
-                    follower.found_stale()
+                    follower.record_stale_peer()
             return False
         self.choice.answered(reader)
         for name, update in updates.items():
-            followers[name].take(update, sent_s)
+            followers[name].apply(update, sent_s)
         return True
 
     async def _request(
--- a/packages/registry/src/fordhatch/registry/_row_keeper.py
+++ b/packages/registry/src/fordhatch/registry/_row_restorer.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class RowKeeper:
+class RowRestorer:
     """Retains and rewrites the rows that a store restored from a backup has lost."""
 
     store: StoreClient
--- a/packages/registry/src/fordhatch/registry/_followers.py
+++ b/packages/registry/src/fordhatch/registry/_store_view.py
@@ -9,16 +9,16 @@
 from fordhatch.adapter import BACKENDS_TABLE, OPERATOR_TABLE
 from fordhatch.core import TaskSet, Timer
 
-from ._backend_directory import BackendDirectory
-from ._configuration_in_force import (
+from ._active_configuration import (
     OPERATORS_ROW,
-    ConfigurationInForce,
+    ActiveConfiguration,
     ConfigurationRow,
 )
+from ._backend_directory import BackendDirectory
 from ._group_records import members_of
 from ._outage_evidence import OutageEvidence
 from ._relay import RelayClient
-from ._row_keeper import RowKeeper
+from ._row_restorer import RowRestorer
 from ._shared_rows import SHARED_TABLE, SharedRows
 from ._table_follower import TableFollower
 from ._table_source import TableSource, TableUpdate
@@ -49,14 +49,14 @@
     """View of the configuration, the backend servers and the system's own rows."""
 
     timer: Timer
-    configuration: ConfigurationInForce
+    configuration: ActiveConfiguration
     directory: BackendDirectory
     shared: SharedRows
     operators: TableFollower
     backends: TableFollower
     own: TableFollower
     tables: TableSync
-    keeper: RowKeeper | None = None
+    row_restorer: RowRestorer | None = None
     evidence: OutageEvidence = attrs.field(factory=OutageEvidence)
     """Reports of other nodes on the store while this node does not reach it."""
     _tasks: TaskSet = attrs.field(factory=TaskSet)
@@ -70,8 +70,8 @@
         shared: SharedRows | None = None,
         configuration_row: ConfigurationRow = OPERATORS_ROW,
         relay: RelayClient | None = None,
-        begin_spread_s: float = 0.0,
-        keeper: RowKeeper | None = None,
+        start_spread_s: float = 0.0,
+        row_restorer: RowRestorer | None = None,
     ) -> StoreView:
         """Build a view that has not been started.
 
@@ -81,13 +81,13 @@
             shared: Receives the system's own rows.
             configuration_row: The row that holds the configuration.
             relay: Queries other nodes; without it only the store is queried.
-            begin_spread_s: Upper bound of the random delay before the first query to
+            start_spread_s: Upper bound of the random delay before the first query to
                 the store, in seconds.
-            keeper: Rewrites the rows that a restored store has lost; without it this
-                is left to other nodes.
+            row_restorer: Rewrites the rows that a restored store has lost; without it
+                this is left to other nodes.
         """
         shared = shared if shared is not None else SharedRows(timer)
-        configuration = ConfigurationInForce(configuration_row)
+        configuration = ActiveConfiguration(configuration_row)
         directory = BackendDirectory(timer)
 
         unread = {BACKENDS_TABLE, SHARED_TABLE}
@@ -103,8 +103,8 @@
         def apply_configuration(update: TableUpdate) -> TableUpdate:
             configuration.observe(update.rows)
             is_restore = operators.copy.is_restore(update) and update.is_from_store
-            if is_restore and is_own_table and keeper is not None:
-                keeper.write(configuration.lost(update), operators.copy)
+            if is_restore and is_own_table and row_restorer is not None:
+                row_restorer.write(configuration.lost(update), operators.copy)
             return configuration.replace_others(update)
 
         def apply_backends(update: TableUpdate) -> TableUpdate:
@@ -112,17 +112,17 @@
             directory.outage_ended_s = backends.outage_ended_s
             is_restore = backends.copy.is_restore(update)
             if update.is_whole:
-                directory.observe_snapshot(update.rows, is_return=is_restore)
+                directory.observe_snapshot(update.rows, is_restore=is_restore)
             else:
-                directory.observe_changes(update.rows, is_return=is_restore)
+                directory.observe_changes(update.rows, is_restore=is_restore)
             mark_read(BACKENDS_TABLE)
             return update
 
         def apply_shared(update: TableUpdate) -> TableUpdate:
             shared.logs_changes = update.is_from_store
-            if keeper is not None and update.is_from_store:
+            if row_restorer is not None and update.is_from_store:
                 ago_s = timer.now_s() - own.previous_confirmed_s
-                update = keeper.restore(update, own.copy, confirmed_ago_s=ago_s)
+                update = row_restorer.restore(update, own.copy, confirmed_ago_s=ago_s)
             if update.is_whole:
                 shared.observe_snapshot(update.rows)
             else:
@@ -155,7 +155,7 @@
             must_be_fresh=False,
         )
         followers = {f.table: f for f in (operators, backends, own)}
-        tables = TableSync(followers, timer, relay, begin_spread_s)
+        tables = TableSync(followers, timer, relay, start_spread_s)
         return cls(
             timer,
             configuration,
@@ -165,7 +165,7 @@
             backends,
             own,
             tables,
-            keeper,
+            row_restorer,
         )
 
     @property
@@ -191,5 +191,5 @@
     async def close(self) -> None:
         """Stop following."""
         await self._tasks.close()
-        if self.keeper is not None:
-            await self.keeper.close()
+        if self.row_restorer is not None:
+            await self.row_restorer.close()
--- a/packages/registry/src/fordhatch/registry/_table_follower.py
+++ b/packages/registry/src/fordhatch/registry/_table_follower.py
@@ -143,7 +143,7 @@
         if got.is_err():
             self.failed(got.unwrap_err())
             return False
-        if self.take(got.unwrap(), sent_s):
+        if self.apply(got.unwrap(), sent_s):
             return True
         text = f"answer has version {got.unwrap().version}, before {self.copy.version}"
         self.failed(Failure.from_code(ResultCode.STORE_UNAVAILABLE, text))
@@ -153,7 +153,7 @@
         pause_s = FIRST_RETRY_S * 2 ** min(failures - 1, 8)
         return self.timer.jittered(min(pause_s, max_s))
 
-    def take(self, update: TableUpdate, sent_s: float) -> bool:
+    def apply(self, update: TableUpdate, sent_s: float) -> bool:
         """Apply an update unless it is older than the copy.
 
         Args:
@@ -225,7 +225,7 @@
         self._failing_since_s = None
         self._failures = 0
 
-    def found_stale(self) -> None:
+    def record_stale_peer(self) -> None:
         """Record that another node's copy is stale too."""
         self._was_unavailable = True
 
--- a/packages/registry/src/fordhatch/registry/_table_sync.py
+++ b/packages/registry/src/fordhatch/registry/_table_sync.py
@@ -54,7 +54,7 @@
     timer: Timer
     relay: RelayClient | None = None
     """None where there are no other nodes."""
-    begin_spread_s: float = 0.0
+    start_spread_s: float = 0.0
     """Upper bound of the random delay before the first query to the store, in
     seconds."""
     _consecutive_failures: int = 0
@@ -85,7 +85,7 @@
         """
         if self.relay is None:
             return
-        await self.timer.sleep(self.begin_spread_s * self.timer.rng.random())
+        await self.timer.sleep(self.start_spread_s * self.timer.rng.random())
         if not await self.followers[SHARED_TABLE].refresh():
             # The store is unavailable: only one table is queried from now on, the
             # followers of the other tables wait.
--- a/packages/registry/tests/test_lost_rows.py
+++ b/packages/registry/tests/test_lost_rows.py
@@ -7,9 +7,9 @@
 
 from fordhatch.adapter import ABSENT, Row, RowKey, StoreVersion
 from fordhatch.core import Timer
-from fordhatch.registry import RowKeeper, TableCopy, TableUpdate
+from fordhatch.registry import RowRestorer, TableCopy, TableUpdate
 from fordhatch.registry._lost_rows import restore_lost_rows
-from fordhatch.registry._row_keeper import MAX_COPY_AGE_S
+from fordhatch.registry._row_restorer import MAX_COPY_AGE_S
 from fordhatch_lab import run_in_virtual_time
 from fordhatch_standins import MemoryStoreClient, StoreModel
 
@@ -75,7 +75,7 @@
         model.generation = 1
         client = MemoryStoreClient(model, "n1")
         await client.read(TABLE, timeout_s=1.0)
-        keeper = RowKeeper(client, Timer.from_seed(1))
+        keeper = RowRestorer(client, Timer.from_seed(1))
         copy = known()
         copy.apply(keeper.restore(restored(), copy, confirmed_ago_s=confirmed_ago_s))
         meanwhile(model)
--- a/packages/registry/tests/test_store_view.py
+++ b/packages/registry/tests/test_store_view.py
@@ -196,7 +196,7 @@
     )
     entry = Row(RowKey(BACKENDS_TABLE, "i-1"), at(3), backend())
     now_s = view.timer.now_s()
-    view.backends.take(TableUpdate([entry], at(10), True, 0.2, 60.0), now_s)
+    view.backends.apply(TableUpdate([entry], at(10), True, 0.2, 60.0), now_s)
     return view
 
 
@@ -205,7 +205,7 @@
         view = await relay_fed_view()
         await asyncio.sleep(1.5)
         # The last update was slow over two relays; the store was never unavailable.
-        view.backends.take(relayed(12, REMOVED), view.timer.now_s())
+        view.backends.apply(relayed(12, REMOVED), view.timer.now_s())
         assert not view.directory.backends
 
     run(scenario)
@@ -216,9 +216,9 @@
         view = await relay_fed_view()
         await asyncio.sleep(3)
         # The end of the outage comes without rows; the next update has the removal.
-        view.backends.take(relayed(10, steady_s=0.1), view.timer.now_s())
+        view.backends.apply(relayed(10, steady_s=0.1), view.timer.now_s())
         await asyncio.sleep(0.3)
-        view.backends.take(relayed(12, REMOVED, steady_s=0.4), view.timer.now_s())
+        view.backends.apply(relayed(12, REMOVED, steady_s=0.4), view.timer.now_s())
         assert set(view.directory.backends) == {"i-1"}
 
     run(scenario)
@@ -228,9 +228,9 @@
     async def scenario() -> None:
         view = await relay_fed_view()
         await asyncio.sleep(3)
-        view.backends.take(relayed(10, steady_s=0.1), view.timer.now_s())
+        view.backends.apply(relayed(10, steady_s=0.1), view.timer.now_s())
         await asyncio.sleep(1.4)
-        view.backends.take(relayed(12, REMOVED, steady_s=1.5), view.timer.now_s())
+        view.backends.apply(relayed(12, REMOVED, steady_s=1.5), view.timer.now_s())
         assert not view.directory.backends
 
     run(scenario)
@@ -241,7 +241,7 @@
         view = await relay_fed_view()
         await asyncio.sleep(1.6)
         # No reader answered meanwhile. The store does, and was never unavailable.
-        view.backends.take(TableUpdate([REMOVED], at(12), False), view.timer.now_s())
+        view.backends.apply(TableUpdate([REMOVED], at(12), False), view.timer.now_s())
         assert not view.directory.backends
 
     run(scenario)
@@ -251,8 +251,8 @@
     async def scenario() -> None:
         view = await relay_fed_view()
         await asyncio.sleep(2.0)
-        view.backends.found_stale()
-        view.backends.take(TableUpdate([REMOVED], at(12), False), view.timer.now_s())
+        view.backends.record_stale_peer()
+        view.backends.apply(TableUpdate([REMOVED], at(12), False), view.timer.now_s())
         assert set(view.directory.backends) == {"i-1"}
 
     run(scenario)
--- a/packages/serving/src/fordhatch/serving/__init__.py
+++ b/packages/serving/src/fordhatch/serving/__init__.py
@@ -4,6 +4,7 @@
 
 from ._admission import Admission
 from ._backend_health import BackendHealth
+from ._backpressure import BackpressureTracker, ServerLimit
 from ._caller_server import CallerServer
 from ._crash_watch import CrashWatch
 from ._demand_meter import DemandMeter
@@ -16,10 +17,9 @@
 from ._permit_issuer import Permit
 from ._permits import Permits
 from ._plain_call import PlainCalls
-from ._pressure_book import PressureBook, ServerLimit
-from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
 from ._request_path import RequestPath
+from ._retry_budget import RetryBudget
 from ._route_table import RouteTable
 from ._stall_watch import StallWatch
 from ._stream_call import StreamCalls
@@ -28,6 +28,7 @@
     "Admission",
     "BackendAnswer",
     "BackendHealth",
+    "BackpressureTracker",
     "CallerServer",
     "CrashWatch",
     "DemandMeter",
@@ -41,10 +42,9 @@
     "Permit",
     "Permits",
     "PlainCalls",
-    "PressureBook",
-    "RepeatBudget",
     "Reply",
     "RequestPath",
+    "RetryBudget",
     "RouteTable",
     "SendFailure",
     "SendProblem",
--- a/packages/serving/src/fordhatch/serving/_admission.py
+++ b/packages/serving/src/fordhatch/serving/_admission.py
@@ -10,9 +10,9 @@
 from fordhatch.catalog import CallFields, Configuration, Route, Workspace
 from fordhatch.core import Failure, ResultCode, Timer
 
-from ._knowledge import Freshness
+from ._backpressure import BackpressureTracker
+from ._freshness import Freshness
 from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
-from ._pressure_book import PressureBook
 from ._quarantine import Quarantine
 from ._request import ServedRequest
 from ._route_table import RouteTable, choose_service
@@ -26,7 +26,7 @@
     timer: Timer
     rng: random.Random
     quarantine: Quarantine
-    pressure: PressureBook
+    pressure: BackpressureTracker
     _routes: RouteTable = attrs.field(factory=RouteTable)
 
     @classmethod
@@ -35,7 +35,7 @@
         state: NodeState,
         timer: Timer,
         quarantine: Quarantine,
-        pressure: PressureBook,
+        pressure: BackpressureTracker,
     ) -> Admission:
         """Create a node's admission control and subscribe it to the configuration."""
         admission = cls(state, timer, timer.rng, quarantine, pressure)
@@ -52,7 +52,7 @@
 
     def find_route(self, host: str, target: str) -> Result[Route, Failure]:
         """Return the route of a request, or the refusal."""
-        stopped = self.state.why_not()
+        stopped = self.state.refusal()
         if stopped is not None:
             return Err(stopped)
         route = self._routes.find(host, target)
@@ -103,7 +103,7 @@
             arrived_s=arrived_s,
             due_s=arrived_s + wait_s,
         )
-        request.may_go = lambda backend_id: self._recheck_for_backend(
+        request.recheck = lambda backend_id: self._recheck_for_backend(
             request, backend_id
         )
         return Ok(request)
@@ -115,7 +115,7 @@
         stopped = self.recheck(request)
         if stopped is not None:
             return stopped
-        pressure = self.pressure.why_not(backend_id)
+        pressure = self.pressure.blocking_reason(backend_id)
         if pressure is None:
             return None
         return Failure.from_code(ResultCode.BACKEND_REFUSED, f"asked for {pressure}")
@@ -154,7 +154,7 @@
 
     def recheck(self, request: ServedRequest) -> Failure | None:
         """Return why a request that has waited may no longer be sent, or None."""
-        stopped = self.state.why_not() or self.quarantine.why_not(request)
+        stopped = self.state.refusal() or self.quarantine.refusal(request)
         if stopped is not None:
             return stopped
         if request.route.is_public or request.workspace is None:
--- a/packages/serving/src/fordhatch/serving/_backend_health.py
+++ b/packages/serving/src/fordhatch/serving/_backend_health.py
@@ -29,7 +29,7 @@
 few requests, so without an expiry its recovery would never be observed."""
 
 
-TIE_SHARE = 0.1
+TIE_BREAK_FRACTION = 0.1
 """Random part of a choice's cost, in requests in flight; it spreads requests over
 equally loaded backend servers."""
 
@@ -51,7 +51,7 @@
     in_flight: Counter[str] = attrs.field(factory=Counter)
     _records: dict[str, _Record] = attrs.field(factory=dict)
 
-    def failed(self, backend_id: str) -> None:
+    def record_failure(self, backend_id: str) -> None:
         """Record a failure; the penalty doubles with each consecutive one."""
         record = self._records.setdefault(backend_id, _Record())
         record.failures += 1
@@ -59,7 +59,7 @@
         until_s = self.timer.now_s() + min(penalty_s, MAX_PENALTY_S)
         record.avoid_until_s = max(record.avoid_until_s, until_s)
 
-    def succeeded(self, backend_id: str, took_s: float) -> None:
+    def record_success(self, backend_id: str, took_s: float) -> None:
         """Record a complete answer.
 
         Args:
@@ -82,7 +82,9 @@
         record = self._records.get(backend_id)
         return record.typical_s if record is not None else 0.0
 
-    def note_pause(self, backend_id: str, pause_s: float, expected_s: float) -> None:
+    def record_event_interval(
+        self, backend_id: str, pause_s: float, expected_s: float
+    ) -> None:
         """Record the time between two events of a stream.
 
         Args:
--- a/packages/serving/src/fordhatch/serving/_pressure_book.py
+++ b/packages/serving/src/fordhatch/serving/_backpressure.py
@@ -39,12 +39,12 @@
     backend_id: str
     per_s: float | None
     """Requests a second from all nodes together; None if the limit was withdrawn."""
-    said_s: float
+    received_s: float
     """When the answer that declared it was received, in monotonic seconds."""
 
 
 @attrs.frozen
-class Hold:
+class Block:
     """Why a backend server accepts no requests now, and for how long."""
 
     backend_id: str
@@ -73,7 +73,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class PressureBook:
+class BackpressureTracker:
     """Back-off requests, rate limits and departures by backend server."""
 
     timer: Timer
@@ -93,7 +93,7 @@
 
     # Input from answers and from other nodes.
 
-    def heard(self, backend: BackendServer, said: Backpressure | None) -> None:
+    def process_answer(self, backend: BackendServer, said: Backpressure | None) -> None:
         """Process the backpressure in an answer whose head has just been received.
 
         Args:
@@ -115,14 +115,14 @@
         if said.rest_s is not None:
             self._apply_backoff(backend, known, said.rest_s)
         if said.is_leaving:
-            self.take_leaving(backend.backend_id)
+            self.record_departure(backend.backend_id)
 
     def _update_limit(self, backend_id: str, limit_per_s: float | None) -> None:
         if limit_per_s is not None:
             limit_per_s = min(limit_per_s, MOST_LIMIT_PER_S)
-        self.take_limit(ServerLimit(backend_id, limit_per_s, self.timer.now_s()))
+        self.apply_limit(ServerLimit(backend_id, limit_per_s, self.timer.now_s()))
 
-    def take_leaving(self, backend_id: str) -> None:
+    def record_departure(self, backend_id: str) -> None:
         """Record that a backend server is leaving."""
         if not self.directory.note_leaving(backend_id):
             return
@@ -130,13 +130,13 @@
         for callback in self._leaving_subscribers:
             callback(backend_id)
 
-    def take_limit(self, found: ServerLimit) -> None:
+    def apply_limit(self, found: ServerLimit) -> None:
         """Apply a limit or its withdrawal, unless a newer report is known."""
         known = self._by_backend.setdefault(found.backend_id, _KnownPressure())
         before = known.limit
         if before is None and found.per_s is None:
             return
-        if before is not None and found.said_s <= before.said_s:
+        if before is not None and found.received_s <= before.received_s:
             return
         known.limit = found
         if not _is_significant(known.notified_per_s, found.per_s):
@@ -146,7 +146,7 @@
             backend=found.backend_id,
             limit_per_s="" if found.per_s is None else found.per_s,
             before_per_s="" if known.notified_per_s is None else known.notified_per_s,
-            age_s=round(self.timer.now_s() - found.said_s, 3),
+            age_s=round(self.timer.now_s() - found.received_s, 3),
         )
         known.notified_per_s = found.per_s
         # Permit denials do not apply to another limit.
@@ -204,7 +204,7 @@
         known = self._by_backend.get(backend_id)
         return known.free_at_s if known is not None else -math.inf
 
-    def held(self) -> Set[str]:
+    def blocked_backends(self) -> Set[str]:
         """Return the backend servers that may get no requests now.
 
         Few backend servers request anything, so a choice among many calls this once.
@@ -218,7 +218,7 @@
         """Return whether a backend server may get no requests now."""
         return self.free_at_s(backend_id) > self.timer.now_s()
 
-    def first_hold(self, backends: Iterable[BackendServer]) -> Hold | None:
+    def first_block(self, backends: Iterable[BackendServer]) -> Block | None:
         """Return the block that ends first, for backend servers that are all blocked.
 
         Returns:
@@ -231,13 +231,13 @@
         free_s = max(self.free_at_s(backend_id) - self.timer.now_s(), 0.0)
         is_backing_off = self._is_backing_off(backend_id)
         kind = PressureKind.REST if is_backing_off else PressureKind.LIMIT
-        return Hold(backend_id, kind, free_s)
+        return Block(backend_id, kind, free_s)
 
     def _is_backing_off(self, backend_id: str) -> bool:
         known = self._by_backend.get(backend_id)
         return known is not None and known.backoff_until_s > self.timer.now_s()
 
-    def why_not(self, backend_id: str) -> PressureKind | None:
+    def blocking_reason(self, backend_id: str) -> PressureKind | None:
         """Return why a request that has its permit may still not be sent, or None."""
         if self.directory.departures.has(backend_id):
             return PressureKind.LEAVING
--- a/packages/serving/src/fordhatch/serving/_caller_server.py
+++ b/packages/serving/src/fordhatch/serving/_caller_server.py
@@ -55,7 +55,7 @@
             response.force_close()
         await self._send(response)
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
--- a/packages/serving/src/fordhatch/serving/_crash_teller.py
+++ b/packages/serving/src/fordhatch/serving/_crash_row_writer.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class CrashTeller:
+class CrashRowWriter:
     """Writes and removes crash rows, retrying until the store has accepted them."""
 
     store: StoreClient
--- a/packages/serving/src/fordhatch/serving/_crash_watch.py
+++ b/packages/serving/src/fordhatch/serving/_crash_watch.py
@@ -12,7 +12,7 @@
 from fordhatch.core import ResultCode, TaskSet, Timer, log_event, metrics
 from fordhatch.registry import CrashRecord, RunStage, SharedRows, probe
 
-from ._crash_teller import CrashTeller
+from ._crash_row_writer import CrashRowWriter
 from ._quarantine import Quarantine
 from ._request import ServedRequest
 from ._request_digest import request_digest
@@ -63,7 +63,7 @@
     timer: Timer
     backends: BackendClient
     shared: SharedRows
-    row_writer: CrashTeller
+    row_writer: CrashRowWriter
     quarantine: Quarantine = attrs.field(init=False)
     _subscribers: list[Callable[[list[CrashRecord]], None]] = attrs.field(factory=list)
     _checks: dict[str, _Check] = attrs.field(factory=dict)
@@ -74,7 +74,7 @@
         self.quarantine = Quarantine(self.shared, self.digest)
         self.shared.subscribe(self.quarantine.refresh)
 
-    def broke(
+    def connection_broken(
         self, request: ServedRequest, backend: BackendServer, stage: RunStage
     ) -> None:
         """Record that the connection of a run has broken.
@@ -95,7 +95,7 @@
         if check.has_crashed:
             self._record(check, run)
 
-    async def until_known(self, backend: BackendServer) -> None:
+    async def wait_until_checked(self, backend: BackendServer) -> None:
         """Wait until a pending check of a backend server, if any, is resolved."""
         check = self._checks.get(backend.backend_id)
         if check is not None:
@@ -147,7 +147,7 @@
         """Register a callback for crashes that other nodes must be notified of."""
         self._subscribers.append(callback)
 
-    def ended(self, request: ServedRequest) -> None:
+    def request_ended(self, request: ServedRequest) -> None:
         """Process the end of a request.
 
         If the request got its answer, crash records of its content are cleared;
@@ -188,7 +188,7 @@
         secret = self.shared.secret
         return request_digest(request, secret) if secret else ""
 
-    def forget(self) -> None:
+    def prune(self) -> None:
         """Drop old checks of crashed backend servers, and old crash records."""
         now_s = self.timer.now_s()
         for backend_id, check in list(self._checks.items()):
--- a/packages/serving/src/fordhatch/serving/_demand_meter.py
+++ b/packages/serving/src/fordhatch/serving/_demand_meter.py
@@ -54,7 +54,7 @@
     _answer_tokens: dict[str, float] = attrs.field(factory=dict)
     """Moving average of the answer length of each route, in tokens."""
 
-    def arrived(
+    def record_request(
         self,
         key: ModelKey,
         route: str,
@@ -84,7 +84,7 @@
         count.requests += 1
         count.busy_s += profile.busy_s(model, prompt_tokens, answer_tokens)
 
-    def answered(self, route: str, profile: EngineProfile, events: int) -> None:
+    def record_answer(self, route: str, profile: EngineProfile, events: int) -> None:
         """Record the length of a complete answer.
 
         Args:
--- a/packages/serving/src/fordhatch/serving/_dispatch.py
+++ b/packages/serving/src/fordhatch/serving/_dispatch.py
@@ -9,8 +9,8 @@
 from ._crash_watch import CrashWatch
 from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
 from ._plain_call import PlainCalls
-from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
+from ._retry_budget import RetryBudget
 from ._stream_call import StreamCalls
 
 
@@ -19,7 +19,7 @@
     """Serves admitted requests; every one of them goes through here."""
 
     state: NodeState
-    budget: RepeatBudget
+    budget: RetryBudget
     streams: StreamCalls
     plain: PlainCalls
     timer: Timer
@@ -43,7 +43,7 @@
             else:
                 await self.plain.serve(request, reply)
         finally:
-            self.crashes.ended(request)
+            self.crashes.request_ended(request)
         self._log(request, reply)
 
     def _log(self, request: ServedRequest, reply: Reply) -> None:
--- a/packages/serving/src/fordhatch/serving/_exchange.py
+++ b/packages/serving/src/fordhatch/serving/_exchange.py
@@ -99,7 +99,7 @@
         _NotAllowed: If it may not.
     """
     send: _Send = context.trace_request_ctx
-    stopped = send.request.may_go(send.backend.backend_id)
+    stopped = send.request.recheck(send.backend.backend_id)
     if stopped is not None:
         raise _NotAllowed(stopped.code.name)
 
@@ -239,10 +239,10 @@
         except _NotAllowed as stopped:
             return Err(SendFailure(SendProblem.NOT_SENT, repr(stopped)))
         except TimeoutError:
-            request.arrived_at(backend.backend_id, may_have_run=True)
+            request.record_arrival(backend.backend_id, may_have_run=True)
             return Err(SendFailure(SendProblem.SILENT, f"no head in {head_timeout_s}"))
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            request.arrived_at(backend.backend_id, may_have_run=True)
+            request.record_arrival(backend.backend_id, may_have_run=True)
             return Err(SendFailure(connection_problem(error), repr(error)))
         return self._check_answer(request, backend, response)
 
@@ -289,13 +289,13 @@
         foreign = fields.request_id != request.fields.request_id
         if fields.refusal is not RefusalKind.NONE:
             response.close()
-            request.arrived_at(backend.backend_id, may_have_run=False)
+            request.record_arrival(backend.backend_id, may_have_run=False)
             other = fields.refusal is RefusalKind.OTHER_BACKEND
             problem = SendProblem.OTHER_BACKEND if other else SendProblem.REFUSED
             is_own = not other and not foreign
             backpressure = fields.backpressure if is_own else None
             return Err(SendFailure(problem, fields.backend_at_fault, backpressure))
-        request.arrived_at(backend.backend_id, may_have_run=True)
+        request.record_arrival(backend.backend_id, may_have_run=True)
         if foreign or fields.has_encoding or not fields.is_signed:
             response.close()
             return Err(SendFailure(SendProblem.BROKEN, "not the answer that is due"))
--- a/packages/serving/src/fordhatch/serving/_knowledge.py
+++ b/packages/serving/src/fordhatch/serving/_freshness.py
@@ -43,18 +43,18 @@
 
 
 def classify_freshness(
-    age_s: float, bounds: SystemBounds, *, is_outage_for_all: bool
+    age_s: float, bounds: SystemBounds, *, is_system_wide_outage: bool
 ) -> Freshness:
     """Return the freshness of a configuration from the age of its confirmation.
 
     Args:
         age_s: Time since the store confirmed the configuration, in seconds.
         bounds: The bounds of the system.
-        is_outage_for_all: Whether there is evidence that no node reaches the store.
+        is_system_wide_outage: Whether there is evidence that no node reaches the store.
     """
     if age_s <= MAX_CERTAIN_AGE_S:
         return Freshness.CERTAIN
-    if is_outage_for_all and not bounds.is_revocation_strict:
+    if is_system_wide_outage and not bounds.is_revocation_strict:
         return Freshness.GOOD
     limit_s = _limit_s(bounds)
     if age_s > limit_s * STALE_FRACTION:
--- a/packages/serving/src/fordhatch/serving/_group_progress.py
+++ b/packages/serving/src/fordhatch/serving/_group_progress.py
@@ -9,7 +9,7 @@
 from fordhatch.catalog import EngineProfile
 from fordhatch.core import Timer
 
-SILENCE_FLOOR_S = 0.35
+MIN_SILENCE_S = 0.35
 """Shortest silence that indicates a fault, in seconds; a single lost packet delays an
 event by a fifth of a second or more."""
 
@@ -17,14 +17,14 @@
 """Forward passes without an event that a working group cannot explain. It completes a
 pass over its requests within its own pass time, including a few prompts."""
 
-FIRST_SILENCES = 1.5
+MIN_FIRST_EVENT_SILENCES = 1.5
 """Minimum wait for the first event of a run, in silence limits; the run queues behind
 the prompts of other requests."""
 
 FIRST_EVENT_FACTOR = 3.0
 """Multiple of the usual wait for the first event that most waits stay below."""
 
-FIRST_MOST_S = 1.4
+MAX_FIRST_EVENT_WAIT_S = 1.4
 """Longest wait for the first event from a group that sends nothing else, in seconds;
 callers give up after two seconds."""
 
@@ -38,7 +38,7 @@
     pace = found.pace if found is not None else 1.0
     chunk_s = profile.prefill_s(profile.chunk_tokens)
     pass_s = (profile.pass_s(profile.slots) + chunk_s) * pace
-    return max(SILENCE_FLOOR_S, SILENCE_PASSES * pass_s)
+    return max(MIN_SILENCE_S, SILENCE_PASSES * pass_s)
 
 
 @attrs.define(eq=False, repr=False)
@@ -76,11 +76,11 @@
     _usual_first_event_s: dict[str, float] = attrs.field(factory=dict)
     """Moving average of the time to the first event by model, in seconds."""
 
-    def began(self, head_id: str) -> RunProgress:
+    def start_run(self, head_id: str) -> RunProgress:
         """Start tracking a run at a head."""
         return RunProgress(head_id, self.timer.now_s())
 
-    def advanced(self, run: RunProgress, model: str) -> None:
+    def record_event(self, run: RunProgress, model: str) -> None:
         """Record an event of a run."""
         now_s = self.timer.now_s()
         head = self._by_head.setdefault(run.head_id, _HeadProgress(now_s))
@@ -96,7 +96,7 @@
             took_s - usual_s
         )
 
-    def ended(self, run: RunProgress) -> None:
+    def end_run(self, run: RunProgress) -> None:
         """Stop tracking a run."""
         if not run.is_flowing:
             return
@@ -114,12 +114,12 @@
         head = self._by_head.get(head_id)
         return self.timer.now_s() - head.last_s if head is not None else 0.0
 
-    def first_patience_s(self, profile: EngineProfile, model: str) -> float:
+    def first_event_timeout_s(self, profile: EngineProfile, model: str) -> float:
         """Return how long a run may wait for its first event, in seconds.
 
         A group that gets much work at once also takes longer than usual. The waits of
         other runs of the model show how long that is.
         """
         usual_s = self._usual_first_event_s.get(model, 0.0)
-        min_s = FIRST_SILENCES * silence_s(profile, model)
-        return min(max(min_s, FIRST_EVENT_FACTOR * usual_s), FIRST_MOST_S)
+        min_s = MIN_FIRST_EVENT_SILENCES * silence_s(profile, model)
+        return min(max(min_s, FIRST_EVENT_FACTOR * usual_s), MAX_FIRST_EVENT_WAIT_S)
--- a/packages/serving/src/fordhatch/serving/_head_choice.py
+++ b/packages/serving/src/fordhatch/serving/_head_choice.py
@@ -10,8 +10,8 @@
 from fordhatch.catalog import BackendServer
 from fordhatch.registry import BackendDirectory
 
-from ._backend_health import TIE_SHARE, BackendHealth
-from ._pressure_book import Hold, PressureBook
+from ._backend_health import TIE_BREAK_FRACTION, BackendHealth
+from ._backpressure import BackpressureTracker, Block
 from ._stall_watch import StallWatch
 
 OTHER_ZONE_COST = 2.4
@@ -36,7 +36,7 @@
     directory: BackendDirectory
     health: BackendHealth
     stalls: StallWatch
-    pressure: PressureBook
+    pressure: BackpressureTracker
     rng: random.Random
     node_count: Callable[[], int]
     """Returns the number of nodes that share the groups."""
@@ -51,7 +51,7 @@
             model: The model that the request names.
             tried: Heads that have already failed this request.
         """
-        blocked = self.pressure.held()
+        blocked = self.pressure.blocked_backends()
         available = self._available_heads(service, model, tried)
         heads = [head for head in available if head.backend_id not in blocked]
         healthy = [h for h in heads if not self._is_avoided(h)]
@@ -70,9 +70,9 @@
             if head.backend_id not in tried and not self.stalls.is_lost(head)
         ]
 
-    def first_hold(
+    def first_block(
         self, service: str, model: str, tried: Collection[str]
-    ) -> Hold | None:
+    ) -> Block | None:
         """Return the block that ends first, if all heads are blocked.
 
         Args:
@@ -80,7 +80,7 @@
             model: The model that the request names.
             tried: Heads that have already failed this request.
         """
-        return self.pressure.first_hold(self._available_heads(service, model, tried))
+        return self.pressure.first_block(self._available_heads(service, model, tried))
 
     def _is_avoided(self, head: BackendServer) -> bool:
         return self.health.is_avoided(head.backend_id) or self.stalls.is_avoided(head)
@@ -92,4 +92,4 @@
         # A slow group delays streams even when it is idle. The square keeps nearly
         # all requests away from it while other groups have capacity.
         cost *= self.health.slowness(head.backend_id) ** 2
-        return cost + self.rng.random() * TIE_SHARE
+        return cost + self.rng.random() * TIE_BREAK_FRACTION
--- a/packages/serving/src/fordhatch/serving/_node_state.py
+++ b/packages/serving/src/fordhatch/serving/_node_state.py
@@ -12,7 +12,7 @@
 from fordhatch.core import Failure, ResultCode, Timer, log_event, metrics
 from fordhatch.registry import StoreView
 
-from ._knowledge import Freshness, classify_freshness
+from ._freshness import Freshness, classify_freshness
 from ._request import Reply
 
 OTHER_NODE_RETRY_AFTER_S = 0.2
@@ -81,9 +81,11 @@
     def freshness(self) -> Freshness:
         """Return the freshness of this node's configuration."""
         nodes = len(self.view.shared.nodes)
-        is_for_all = self.view.evidence.is_for_all(self.timer.now_s(), nodes)
+        is_system_wide = self.view.evidence.is_system_wide(self.timer.now_s(), nodes)
         return classify_freshness(
-            self.view.configuration_age_s(), self.bounds, is_outage_for_all=is_for_all
+            self.view.configuration_age_s(),
+            self.bounds,
+            is_system_wide_outage=is_system_wide,
         )
 
     def _is_loaded(self) -> bool:
@@ -103,7 +105,7 @@
         while not self._is_loaded() and self.timer.now_s() < until_s:
             await self.timer.sleep(START_POLL_INTERVAL_S)
 
-    def why_not(self) -> Failure | None:
+    def refusal(self) -> Failure | None:
         """Return why no request may be served now, or None."""
         if not self._is_loaded():
             return Failure.from_code(
@@ -117,6 +119,6 @@
 
     def is_ready(self) -> bool:
         """Return whether the balancer should send new callers here."""
-        if self.is_leaving or self.why_not() is not None:
+        if self.is_leaving or self.refusal() is not None:
             return False
         return self.freshness() is not Freshness.AGEING
--- a/packages/serving/src/fordhatch/serving/_permits.py
+++ b/packages/serving/src/fordhatch/serving/_permits.py
@@ -9,8 +9,8 @@
 from fordhatch.catalog import BackendServer
 from fordhatch.core import Timer, log_event, metrics
 
+from ._backpressure import BackpressureTracker, Block, ServerLimit
 from ._permit_issuer import Permit, PermitIssuer, issuers, rank_fraction
-from ._pressure_book import Hold, PressureBook, ServerLimit
 
 MAX_ISSUERS = 3
 """Nodes that may issue permits for one backend server, each the fallback of the one
@@ -50,15 +50,15 @@
 
     node_name: str
     timer: Timer
-    pressure: PressureBook
+    pressure: BackpressureTracker
     issuer: PermitIssuer
     nodes: Callable[[], Collection[str]]
     """Returns the names of all nodes."""
-    ask: PermitRequester = _request_nothing
+    request_permit: PermitRequester = _request_nothing
     _unreachable: dict[str, _Unreachable] = attrs.field(factory=dict)
     """Issuers that did not answer, by name."""
 
-    async def take(self, backend: BackendServer) -> bool:
+    async def acquire(self, backend: BackendServer) -> bool:
         """Return whether a request may be sent to a backend server now."""
         limit = self.pressure.limit(backend.backend_id)
         if limit is None:
@@ -71,7 +71,7 @@
             self.pressure.block(backend.backend_id, permit.again_s)
         return permit.is_granted
 
-    def log_hold(self, request_id: str, hold: Hold, *, waits: bool) -> None:
+    def log_block(self, request_id: str, hold: Block, *, waits: bool) -> None:
         """Log and count a request that no backend server accepts now.
 
         Args:
@@ -106,7 +106,7 @@
         unreachable = self._unreachable.get(node)
         if unreachable is not None and unreachable.until_s > now_s:
             return None
-        permit = await self.ask(node, limit)
+        permit = await self.request_permit(node, limit)
         if permit is not None:
             self._unreachable.pop(node, None)
             return permit
@@ -127,14 +127,14 @@
             fraction=fraction,
         )
 
-    def asked_by(self, node: str, limit: ServerLimit) -> Permit:
+    def issue_to(self, node: str, limit: ServerLimit) -> Permit:
         """Return a permit for another node.
 
         Args:
             node: The name of the node.
             limit: The limit as known to that node; applied here if it is newer.
         """
-        self.pressure.take_limit(limit)
+        self.pressure.apply_limit(limit)
         known = self.pressure.limit(limit.backend_id)
         if known is None:
             # The backend server has withdrawn its limit since.
--- a/packages/serving/src/fordhatch/serving/_plain_call.py
+++ b/packages/serving/src/fordhatch/serving/_plain_call.py
@@ -15,7 +15,8 @@
 from fordhatch.registry import BackendDirectory, RunStage
 
 from ._admission import Admission
-from ._backend_health import TIE_SHARE, BackendHealth
+from ._backend_health import TIE_BREAK_FRACTION, BackendHealth
+from ._backpressure import Block
 from ._crash_watch import CrashWatch
 from ._exchange import (
     BackendAnswer,
@@ -26,9 +27,8 @@
 )
 from ._group_wait import MAX_WAIT_FRACTION
 from ._permits import Permits
-from ._pressure_book import Hold
-from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
+from ._retry_budget import RetryBudget
 
 MAX_SENDS = 4
 """Maximum attempts per request, including refusals and failed connections."""
@@ -75,7 +75,7 @@
     rng: random.Random
     directory: BackendDirectory
     health: BackendHealth
-    budget: RepeatBudget
+    budget: RetryBudget
     exchange: ExchangeClient
     admission: Admission
     crashes: CrashWatch
@@ -95,7 +95,7 @@
             if got.is_err():
                 problem = got.unwrap_err()
                 if self.crashes.quarantine.is_suspect(request):
-                    await self.crashes.until_known(backend)
+                    await self.crashes.wait_until_checked(backend)
                 continue
             request.was_answered = True
             last_answer = got.unwrap()
@@ -103,7 +103,9 @@
                 break
         if last_answer is not None:
             request.timeline.record_output(self.timer.now_s())
-            await reply.whole(last_answer.status, last_answer.headers, last_answer.body)
+            await reply.send_complete(
+                last_answer.status, last_answer.headers, last_answer.body
+            )
             return
         await reply.refuse(self._failure(request, problem))
 
@@ -119,22 +121,22 @@
         while True:
             backend = self._choose(request.service, tried)
             if backend is not None:
-                if await self.permits.take(backend):
+                if await self.permits.acquire(backend):
                     return backend
                 continue
-            hold = self._first_hold(request.service, tried)
+            hold = self._first_block(request.service, tried)
             if hold is None:
                 return None
             now_s = self.timer.now_s()
             waits = now_s + hold.free_s <= until_s
             if now_s == began_s or not waits:
-                self.permits.log_hold(request.fields.request_id, hold, waits=waits)
+                self.permits.log_block(request.fields.request_id, hold, waits=waits)
             if not waits:
                 return None
             await self.timer.sleep(hold.free_s)
 
-    def _first_hold(self, service: str, tried: Collection[str]) -> Hold | None:
-        return self.permits.pressure.first_hold(self._untried(service, tried))
+    def _first_block(self, service: str, tried: Collection[str]) -> Block | None:
+        return self.permits.pressure.first_block(self._untried(service, tried))
 
     def _untried(self, service: str, tried: Collection[str]) -> list[BackendServer]:
         backends = self.directory.plain(service)
@@ -148,7 +150,7 @@
         return request.arrivals == 0 or self.budget.spend(request.service)
 
     def _choose(self, service: str, tried: Collection[str]) -> BackendServer | None:
-        blocked = self.permits.pressure.held()
+        blocked = self.permits.pressure.blocked_backends()
         untried = self._untried(service, tried)
         backends = [b for b in untried if b.backend_id not in blocked]
         healthy = [b for b in backends if not self.health.is_avoided(b.backend_id)]
@@ -159,7 +161,7 @@
         if backend.zone != self.zone:
             cost += OTHER_ZONE_COST
         usual_s = max(self.health.typical_s(backend.backend_id), MIN_TYPICAL_S)
-        return cost * usual_s + self.rng.random() * TIE_SHARE * MIN_TYPICAL_S
+        return cost * usual_s + self.rng.random() * TIE_BREAK_FRACTION * MIN_TYPICAL_S
 
     def _answer_timeout_s(
         self, request: ServedRequest, backend: BackendServer, tried: Collection[str]
@@ -188,9 +190,9 @@
             self.health.in_flight[backend.backend_id] -= 1
         took_s = self.timer.now_s() - began_s
         if got.is_ok() and got.unwrap().status < _SERVER_ERROR:
-            self.health.succeeded(backend.backend_id, took_s)
+            self.health.record_success(backend.backend_id, took_s)
             return got
-        self.health.failed(backend.backend_id)
+        self.health.record_failure(backend.backend_id)
         _log_failed(request, backend, got, took_s)
         return got
 
@@ -200,12 +202,14 @@
         ends_s = self.timer.now_s() + timeout_s
         sent = await self.exchange.send(request, backend, head_timeout_s=timeout_s)
         if sent.is_err():
-            self.permits.pressure.heard(backend, sent.unwrap_err().backpressure)
+            self.permits.pressure.process_answer(
+                backend, sent.unwrap_err().backpressure
+            )
             if sent.unwrap_err().problem is SendProblem.CONNECTION_LOST:
-                self.crashes.broke(request, backend, PLAIN_STAGE)
+                self.crashes.connection_broken(request, backend, PLAIN_STAGE)
             return Err(sent.unwrap_err())
         answer = sent.unwrap()
-        self.permits.pressure.heard(backend, answer.fields.backpressure)
+        self.permits.pressure.process_answer(backend, answer.fields.backpressure)
         try:
             async with self.timer.timeout(max(ends_s - self.timer.now_s(), 0.0)):
                 body = await answer.read_all()
@@ -214,7 +218,7 @@
         except (aiohttp.ClientError, OSError) as error:
             problem = connection_problem(error)
             if problem is SendProblem.CONNECTION_LOST:
-                self.crashes.broke(request, backend, PLAIN_STAGE)
+                self.crashes.connection_broken(request, backend, PLAIN_STAGE)
             return Err(SendFailure(problem, repr(error)))
         finally:
             answer.close()
@@ -235,7 +239,7 @@
 
     def _retry_after_s(self, request: ServedRequest) -> float:
         """Return when to retry a request that every backend server refused."""
-        hold = self._first_hold(request.service, ())
+        hold = self._first_block(request.service, ())
         if hold is None:
             return CAPACITY_RETRY_AFTER_S
         left_s = max(request.left_s(self.timer.now_s()), 0.0)
--- a/packages/serving/src/fordhatch/serving/_quarantine.py
+++ b/packages/serving/src/fordhatch/serving/_quarantine.py
@@ -92,7 +92,7 @@
             return False
         return self.digest(request) in self._judged()
 
-    def why_not(self, request: ServedRequest) -> Failure | None:
+    def refusal(self, request: ServedRequest) -> Failure | None:
         """Return the failure for a request that must not be run, or None."""
         if not self.is_quarantined(request):
             return None
@@ -160,7 +160,7 @@
         self._unpublished.add(record.key)
         self._add(record)
 
-    def hear(self, records: Iterable[CrashRecord]) -> list[CrashRecord]:
+    def record_remote(self, records: Iterable[CrashRecord]) -> list[CrashRecord]:
         """Record crashes reported by another node; return those that are new here."""
         new = [
             record
--- a/packages/serving/src/fordhatch/serving/_request.py
+++ b/packages/serving/src/fordhatch/serving/_request.py
@@ -65,7 +65,7 @@
     """Number of times it reached a backend server, including refusals."""
     ran_at: list[str] = attrs.field(factory=list)
     """Backend servers that may have run it."""
-    may_go: Callable[[str], Failure | None] = lambda _: None
+    recheck: Callable[[str], Failure | None] = lambda _: None
     """Returns why the request may no longer be sent to a backend server, or None. It
     is called again once the connection is open, because the instance may have been
     suspended while connecting."""
@@ -76,7 +76,7 @@
     is_over: bool = False
     """Whether no further attempt will be made."""
 
-    def arrived_at(self, backend_id: str, *, may_have_run: bool) -> None:
+    def record_arrival(self, backend_id: str, *, may_have_run: bool) -> None:
         """Record that a backend server received the request.
 
         Args:
@@ -136,7 +136,7 @@
         """Answer with a failure of the system itself."""
         ...
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Answer with a backend server's complete answer."""
--- a/packages/serving/src/fordhatch/serving/_request_path.py
+++ b/packages/serving/src/fordhatch/serving/_request_path.py
@@ -9,7 +9,8 @@
 
 from ._admission import Admission
 from ._backend_health import BackendHealth
-from ._crash_teller import CrashTeller
+from ._backpressure import BackpressureTracker
+from ._crash_row_writer import CrashRowWriter
 from ._crash_watch import CrashWatch
 from ._demand_meter import DemandMeter
 from ._dispatch import Dispatch
@@ -20,8 +21,7 @@
 from ._permit_issuer import PermitIssuer
 from ._permits import Permits
 from ._plain_call import PlainCalls
-from ._pressure_book import PressureBook
-from ._repeat_budget import RepeatBudget
+from ._retry_budget import RetryBudget
 from ._stall_watch import StallWatch
 from ._stream_call import StreamCalls
 from ._stream_run import StreamRuns
@@ -37,7 +37,7 @@
     state: NodeState
     admission: Admission
     dispatch: Dispatch
-    budget: RepeatBudget
+    budget: RetryBudget
     health: BackendHealth
     stalls: StallWatch
     crashes: CrashWatch
@@ -69,7 +69,7 @@
         """
         view = state.view
         health = BackendHealth(timer)
-        pressure = PressureBook(timer, view.directory)
+        pressure = BackpressureTracker(timer, view.directory)
         permits = Permits(
             node_name,
             timer,
@@ -81,12 +81,12 @@
         def node_count() -> int:
             return len(view.shared.nodes)
 
-        budget = RepeatBudget(state.bounds, timer, node_count, timer.rng.random())
+        budget = RetryBudget(state.bounds, timer, node_count, timer.rng.random())
         stalls = StallWatch(
             node_name, timer, store, backends, view.shared, view.directory
         )
         crashes = CrashWatch(
-            node_name, timer, backends, view.shared, CrashTeller(store, timer)
+            node_name, timer, backends, view.shared, CrashRowWriter(store, timer)
         )
         admission = Admission.from_state(state, timer, crashes.quarantine, pressure)
         choice = HeadChoice(
@@ -141,14 +141,14 @@
             demand,
         )
 
-    def forget_gone(self) -> None:
+    def prune(self) -> None:
         """Drop the state of backend servers and groups that no longer exist."""
         backends = self.state.view.directory.backends
         self.health.keep_only(set(backends))
         self.permits.keep_only(set(backends))
         places = {b.membership.key for b in backends.values() if b.membership}
         self.stalls.keep_only(places)
-        self.crashes.forget()
+        self.crashes.prune()
 
     async def close(self) -> None:
         """Cancel background tasks."""
--- a/packages/serving/src/fordhatch/serving/_repeat_budget.py
+++ b/packages/serving/src/fordhatch/serving/_retry_budget.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class RepeatBudget:
+class RetryBudget:
     """This node's part of the retry budget, by service.
 
     The ratio applies to this node's own requests. The slack is one number for the whole
--- a/packages/serving/src/fordhatch/serving/_stall_watch.py
+++ b/packages/serving/src/fordhatch/serving/_stall_watch.py
@@ -29,7 +29,7 @@
 MIN_CHECK_INTERVAL_S = 1.5
 """Minimum time between two checks of a group's members, in seconds."""
 
-SLOW_AGAIN_S = 4.0
+SLOW_CHECK_INTERVAL_S = 4.0
 """The same for a group whose streams continue slowly, in seconds. It may only be
 loaded, and each check costs a report from each member."""
 
@@ -96,7 +96,7 @@
         key = head.membership.key
         return self._avoided.get(key, 0.0) > self.timer.now_s()
 
-    def silent(self, head: BackendServer) -> None:
+    def report_silence(self, head: BackendServer) -> None:
         """Avoid a silent head for a while, and check its group."""
         if head.membership is None:
             return
@@ -144,20 +144,22 @@
             return
         if key not in self._found_lost:
             self._found_lost.add(key)
-            self._tasks.spawn(self._until_whole(key, lost), f"lost-{key[0]}")
+            self._tasks.spawn(self._poll_until_complete(key, lost), f"lost-{key[0]}")
         if key not in self.shared.suspicions:
             await self._report_lost(Suspicion(*key, self.node_name))
 
-    async def _until_whole(self, key: GroupKey, lost: list[BackendServer]) -> None:
+    async def _poll_until_complete(
+        self, key: GroupKey, lost: list[BackendServer]
+    ) -> None:
         """Probe the missing members until all of them answer or their group is gone."""
         try:
             while lost and key in self._found_lost:
                 await self.timer.sleep(self.timer.jittered(LOST_POLL_INTERVAL_S))
-                lost = await self._missed(lost)
+                lost = await self._unanswering(lost)
         finally:
             self._found_lost.discard(key)
 
-    async def _missed(self, members: list[BackendServer]) -> list[BackendServer]:
+    async def _unanswering(self, members: list[BackendServer]) -> list[BackendServer]:
         """Return the members that do not answer a probe."""
         answers = await self._probe(members)
         return [m for m in members if answers[m.backend_id] is None]
--- a/packages/serving/src/fordhatch/serving/_stream_call.py
+++ b/packages/serving/src/fordhatch/serving/_stream_call.py
@@ -23,11 +23,11 @@
 from ._head_choice import HeadChoice
 from ._node_state import OTHER_NODE_RETRY_AFTER_S
 from ._permits import Permits
-from ._repeat_budget import RepeatBudget
 from ._request import Reply, ServedRequest
+from ._retry_budget import RetryBudget
 from ._stream_run import Stream, StreamRuns
 
-MOST_SENDS = 6
+MAX_SENDS = 6
 """Maximum attempts per request, including refusals and failed connections."""
 
 MAX_RESUME_WAIT_S = 1.8
@@ -42,7 +42,7 @@
     timer: Timer
     directory: BackendDirectory
     choice: HeadChoice
-    budget: RepeatBudget
+    budget: RetryBudget
     admission: Admission
     runs: StreamRuns
     permits: Permits
@@ -69,8 +69,8 @@
         stream = Stream(request, reply, order, profile)
         fields, route = request.fields, request.route.name
         key = request.service, stream.model
-        self.demand.arrived(key, route, profile, fields.prompt_tokens)
-        for _ in range(MOST_SENDS):
+        self.demand.record_request(key, route, profile, fields.prompt_tokens)
+        for _ in range(MAX_SENDS):
             head = await self._next_head(stream)
             if head is None:
                 break
@@ -78,12 +78,12 @@
             done = await self.runs.run(stream, head)
             if done.is_ok():
                 request.was_answered = True
-                self.demand.answered(route, profile, stream.events)
+                self.demand.record_answer(route, profile, stream.events)
                 return
             stream.last_problem = done.unwrap_err()
             if self.crashes.quarantine.is_suspect(request):
                 # A retry could crash another group: wait for the cause first.
-                await self.crashes.until_known(head)
+                await self.crashes.wait_until_checked(head)
         await self._give_up(stream)
 
     # Choice of the next group.
@@ -98,7 +98,7 @@
             if head is None:
                 if not await self._wait_for_head(stream, began_s):
                     return None
-            elif await self.permits.take(head):
+            elif await self.permits.acquire(head):
                 return head if self._may_retry(request) else None
         return None
 
@@ -120,12 +120,12 @@
             Whether the choice of a head should be repeated.
         """
         request, now_s = stream.request, self.timer.now_s()
-        hold = self.choice.first_hold(request.service, stream.model, stream.tried)
+        hold = self.choice.first_block(request.service, stream.model, stream.tried)
         if hold is not None:
             wait_left_s = began_s + self._max_wait_s(stream, began_s) - now_s
             waits = hold.free_s <= wait_left_s
             if now_s == began_s or not waits:
-                self.permits.log_hold(request.fields.request_id, hold, waits=waits)
+                self.permits.log_block(request.fields.request_id, hold, waits=waits)
             if waits:
                 await self._wait_for_change(hold.free_s)
                 return True
@@ -192,7 +192,7 @@
     def _retry_after_s(self, stream: Stream, left_s: float) -> float:
         """Return when to retry a stream that found no group."""
         retry_after_s = self._group_wait(stream).retry_within_s(left_s)
-        hold = self.choice.first_hold(stream.request.service, stream.model, ())
+        hold = self.choice.first_block(stream.request.service, stream.model, ())
         if hold is None:
             return retry_after_s
         return min(retry_after_s, max(hold.free_s, OTHER_NODE_RETRY_AFTER_S))
--- a/packages/serving/src/fordhatch/serving/_stream_run.py
+++ b/packages/serving/src/fordhatch/serving/_stream_run.py
@@ -14,6 +14,7 @@
 from fordhatch.registry import BackendDirectory, RunStage
 
 from ._backend_health import BackendHealth
+from ._backpressure import BackpressureTracker
 from ._crash_watch import CrashWatch
 from ._events import EventOrder, EventSplitter, StreamError
 from ._exchange import (
@@ -25,9 +26,8 @@
 )
 from ._group_progress import GroupProgress, RunProgress, silence_s
 from ._head_choice import HeadChoice
-from ._pressure_book import PressureBook
 from ._request import Reply, ServedRequest
-from ._stall_watch import SLOW_AGAIN_S, SLOW_PACE, StallWatch
+from ._stall_watch import SLOW_CHECK_INTERVAL_S, SLOW_PACE, StallWatch
 
 RESUMED_URGENCY = 0
 """Resumed streams are first in the backend server's queue: their callers wait
@@ -81,7 +81,7 @@
     choice: HeadChoice
     exchange: ExchangeClient
     crashes: CrashWatch
-    pressure: PressureBook
+    pressure: BackpressureTracker
     _running: dict[int, tuple[Stream, RunProgress]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -113,21 +113,21 @@
         events = stream.events
         stream.request.timeline.record_send(began_s, self.health.in_flight[head_id])
         self.health.in_flight[head_id] += 1
-        progress = self.progress.began(head_id)
+        progress = self.progress.start_run(head_id)
         self._running[id(progress)] = stream, progress
         try:
             await self._forward(stream, head, progress)
-            self.health.succeeded(head_id, self.timer.now_s() - began_s)
+            self.health.record_success(head_id, self.timer.now_s() - began_s)
             return Ok(None)
         except _RunFailed as broken:
             self._record_failure(stream, head, broken.failure, began_s, events)
             if broken.failure.problem is SendProblem.CONNECTION_LOST:
                 stage = _stage(progress, stream.events - events)
-                self.crashes.broke(stream.request, head, stage)
+                self.crashes.connection_broken(stream.request, head, stage)
             return Err(broken.failure)
         finally:
             del self._running[id(progress)]
-            self.progress.ended(progress)
+            self.progress.end_run(progress)
             self.health.in_flight[head_id] -= 1
 
     def _record_failure(
@@ -151,7 +151,7 @@
         if failure.problem is SendProblem.HELD_BACK:
             return
         self._check_group(stream, head, failure.problem)
-        self.health.failed(head.backend_id)
+        self.health.record_failure(head.backend_id)
 
     def _check_group(
         self, stream: Stream, head: BackendServer, problem: SendProblem
@@ -162,7 +162,7 @@
         if problem is not SendProblem.SILENT:
             self.stalls.check(head)
         elif stream.request.left_s(self.timer.now_s()) > 0:
-            self.stalls.silent(head)
+            self.stalls.report_silence(head)
 
     async def _forward(
         self, stream: Stream, head: BackendServer, progress: RunProgress
@@ -199,7 +199,7 @@
         try:
             await self._wait_for_step(stream, head, progress, send)
         except _RunFailed:
-            request.arrived_at(head.backend_id, may_have_run=True)
+            request.record_arrival(head.backend_id, may_have_run=True)
             raise
         finally:
             if not send.done():
@@ -207,10 +207,10 @@
         sent = send.result()
         if sent.is_err():
             failure = sent.unwrap_err()
-            self.pressure.heard(head, failure.backpressure)
+            self.pressure.process_answer(head, failure.backpressure)
             raise _RunFailed(failure.problem, failure.detail)
         answer = sent.unwrap()
-        self.pressure.heard(head, answer.fields.backpressure)
+        self.pressure.process_answer(head, answer.fields.backpressure)
         return answer
 
     async def _wait_for_step(
@@ -243,7 +243,7 @@
             silent_s = self._silent_s(stream, progress, limit_s)
             waited_s = now_s - waiting_since_s
             if silent_s > 0:
-                self.stalls.silent(head)
+                self.stalls.report_silence(head)
                 self._abandon_if_possible(stream, head, f"silent for {silent_s:.3f}")
             elif waited_s >= STREAM_SILENCE_FACTOR * limit_s:
                 self._abandon_if_possible(stream, head, f"waited for {waited_s:.3f}")
@@ -257,7 +257,7 @@
             # Other streams of the group advanced within the limit.
             return 0.0
         waited_s = self.timer.now_s() - progress.began_s
-        timeout_s = self.progress.first_patience_s(stream.profile, stream.model)
+        timeout_s = self.progress.first_event_timeout_s(stream.profile, stream.model)
         return waited_s if waited_s >= timeout_s else 0.0
 
     def _abandon_if_possible(
@@ -297,7 +297,9 @@
         can_repeat = stream.request.may_run(self.directory.backends, self.timer.now_s())
         if stream.reply.has_begun or (answer.status >= _SERVER_ERROR and can_repeat):
             raise _RunFailed(SendProblem.BROKEN, f"status {answer.status}")
-        await stream.reply.whole(answer.status, answer_headers(answer.headers), body)
+        await stream.reply.send_complete(
+            answer.status, answer_headers(answer.headers), body
+        )
 
     async def _forward_events(
         self,
@@ -312,7 +314,7 @@
             piece = await self._next_piece(stream, head, answer, progress)
             if not piece:
                 break
-            self.progress.advanced(progress, stream.model)
+            self.progress.record_event(progress, stream.model)
             last_s = self._record_pause(stream, head, last_s)
             await self._forward_piece(stream, answer, splitter, piece)
         if splitter.has_partial_event:
@@ -332,9 +334,11 @@
         model = profile.model(stream.model)
         if model is not None:
             expected_s = profile.pass_s(profile.slots // 2) * model.pace
-            self.health.note_pause(head.backend_id, now_s - last_s, expected_s)
+            self.health.record_event_interval(
+                head.backend_id, now_s - last_s, expected_s
+            )
             if self.health.slowness(head.backend_id) >= SLOW_PACE:
-                self.stalls.check(head, SLOW_AGAIN_S)
+                self.stalls.check(head, SLOW_CHECK_INTERVAL_S)
         return now_s
 
     async def _forward_piece(
--- a/packages/serving/tests/test_crash_teller.py
+++ b/packages/serving/tests/test_crash_teller.py
@@ -9,7 +9,11 @@
 
 from fordhatch.core import Timer
 from fordhatch.registry import SHARED_TABLE, CrashRecord, RunStage
-from fordhatch.serving._crash_teller import BATCH_PAUSE_S, MAX_PENDING_ROWS, CrashTeller
+from fordhatch.serving._crash_row_writer import (
+    BATCH_PAUSE_S,
+    MAX_PENDING_ROWS,
+    CrashRowWriter,
+)
 from fordhatch_standins import MemoryStoreClient, StoreModel
 
 
@@ -17,7 +21,7 @@
     def __init__(self) -> None:
         self.model = StoreModel()
         self.client = MemoryStoreClient(self.model, "n1")
-        self.row_writer = CrashTeller(self.client, Timer.from_seed(1))
+        self.row_writer = CrashRowWriter(self.client, Timer.from_seed(1))
 
     def rows(self) -> list[str]:
         return [row.name[2] for row in self.model.page(SHARED_TABLE, "", 1000, "")]
--- a/packages/serving/tests/test_demand_meter.py
+++ b/packages/serving/tests/test_demand_meter.py
@@ -20,7 +20,7 @@
     meter: DemandMeter, per_s: float, for_s: float, prompt: int
 ) -> None:
     for _ in range(round(per_s * for_s)):
-        meter.arrived(KEY, "check", PROFILE, prompt)
+        meter.record_request(KEY, "check", PROFILE, prompt)
         await asyncio.sleep(1.0 / per_s)
 
 
@@ -42,7 +42,7 @@
     async def scenario() -> None:
         meter = DemandMeter(Timer.from_seed(1))
         assert meter.demand() == {}
-        meter.arrived(KEY, "check", PROFILE, 1000)
+        meter.record_request(KEY, "check", PROFILE, 1000)
         assert meter.demand()[KEY].requests_per_s <= 2.0
 
     run_in_virtual_time(scenario())
@@ -51,8 +51,8 @@
 def test_a_declared_prompt_length_is_capped() -> None:
     async def scenario() -> None:
         honest, exaggerating = DemandMeter(Timer()), DemandMeter(Timer())
-        honest.arrived(KEY, "check", PROFILE, 1000)
-        exaggerating.arrived(KEY, "check", PROFILE, 10**12)
+        honest.record_request(KEY, "check", PROFILE, 1000)
+        exaggerating.record_request(KEY, "check", PROFILE, 10**12)
         limit = 40 * honest.demand()[KEY].busy_groups
         assert exaggerating.demand()[KEY].busy_groups < limit
 
@@ -63,9 +63,9 @@
     async def scenario() -> None:
         meter = DemandMeter(Timer())
         for _ in range(200):
-            meter.answered("code", PROFILE, 2)
-        meter.arrived(KEY, "code", PROFILE, 1000)
-        meter.arrived(("llm", "big"), "summary", PROFILE, 1000)
+            meter.record_answer("code", PROFILE, 2)
+        meter.record_request(KEY, "code", PROFILE, 1000)
+        meter.record_request(("llm", "big"), "summary", PROFILE, 1000)
         found = meter.demand()
         assert found[KEY].busy_groups < 0.6 * found["llm", "big"].busy_groups
 
@@ -75,7 +75,7 @@
 def test_a_model_that_is_not_declared_is_not_counted() -> None:
     async def scenario() -> None:
         meter = DemandMeter(Timer())
-        meter.arrived(("llm", "unknown"), "check", PROFILE, 1000)
+        meter.record_request(("llm", "unknown"), "check", PROFILE, 1000)
         assert meter.demand() == {}
 
     run_in_virtual_time(scenario())
--- a/packages/serving/tests/test_freshness.py
+++ b/packages/serving/tests/test_freshness.py
@@ -12,7 +12,7 @@
 from planning_site import BOUNDS
 
 from fordhatch.adapter import decode_settings
-from fordhatch.serving._knowledge import Freshness, classify_freshness
+from fordhatch.serving._freshness import Freshness, classify_freshness
 
 STRICT = attrs.evolve(decode_settings(BOUNDS).bounds, is_revocation_strict=True)
 LENIENT = attrs.evolve(STRICT, is_revocation_strict=False)
@@ -32,8 +32,8 @@
 def test_a_system_wide_outage_stops_no_node(
     age_s: float, alone: Freshness, for_all: Freshness
 ) -> None:
-    assert classify_freshness(age_s, LENIENT, is_outage_for_all=False) is alone
-    assert classify_freshness(age_s, LENIENT, is_outage_for_all=True) is for_all
+    assert classify_freshness(age_s, LENIENT, is_system_wide_outage=False) is alone
+    assert classify_freshness(age_s, LENIENT, is_system_wide_outage=True) is for_all
 
 
 @pytest.mark.parametrize("is_for_all", [False, True])
@@ -43,10 +43,10 @@
         (3.0, Freshness.AGEING),
         (3.6, Freshness.STALE),
     ):
-        found = classify_freshness(age_s, STRICT, is_outage_for_all=is_for_all)
+        found = classify_freshness(age_s, STRICT, is_system_wide_outage=is_for_all)
         assert found is expected, age_s
 
 
 def test_unknown_keys_are_denied_by_a_certain_configuration_only() -> None:
-    found = classify_freshness(1.6, LENIENT, is_outage_for_all=True)
+    found = classify_freshness(1.6, LENIENT, is_system_wide_outage=True)
     assert found is not Freshness.CERTAIN
--- a/packages/serving/tests/test_head_choice.py
+++ b/packages/serving/tests/test_head_choice.py
@@ -25,7 +25,7 @@
 )
 from fordhatch.core import Timer
 from fordhatch.registry import BackendDirectory
-from fordhatch.serving import BackendHealth, PressureBook
+from fordhatch.serving import BackendHealth, BackpressureTracker
 from fordhatch.serving._head_choice import HeadChoice
 from fordhatch_lab import run_in_virtual_time
 
@@ -87,7 +87,7 @@
     choices = [
         HeadChoice(
             zones[index % len(zones)], Heads(heads), BackendHealth(clock), NoStalls(),
-            PressureBook(clock, BackendDirectory(clock)),
+            BackpressureTracker(clock, BackendDirectory(clock)),
             random.Random(f"{seed}/{index}"), lambda: nodes,
         )
         for index in range(nodes)
@@ -134,7 +134,7 @@
         heads,
         BackendHealth(clock),
         NoStalls(),
-        PressureBook(clock, BackendDirectory(clock)),
+        BackpressureTracker(clock, BackendDirectory(clock)),
         random.Random(seed),
         lambda: 8,
     )
@@ -153,7 +153,7 @@
             heads,
             health,
             NoStalls(),
-            PressureBook(clock, BackendDirectory(clock)),
+            BackpressureTracker(clock, BackendDirectory(clock)),
             random.Random(1),
             lambda n=nodes: n,
         )
@@ -163,7 +163,7 @@
 def test_a_blocked_head_is_not_chosen_even_as_the_last_one() -> None:
     clock = ManualClock()
     heads = Heads([head(0, "z0"), head(1, "z0")])
-    pressure = PressureBook(clock, BackendDirectory(clock))
+    pressure = BackpressureTracker(clock, BackendDirectory(clock))
     pressure.timer = Timer.from_seed(1)
     choice = HeadChoice(
         "z0", heads, BackendHealth(clock), NoStalls(), pressure, random.Random(1), int
@@ -171,11 +171,11 @@
 
     async def choose_heads() -> list[BackendServer | None]:
         first, second = heads.heads
-        pressure.heard(first, Backpressure(rest_s=5.0))
+        pressure.process_answer(first, Backpressure(rest_s=5.0))
         found = [choice.choose("llm", "m", ())]
-        pressure.heard(second, Backpressure(rest_s=2.0))
+        pressure.process_answer(second, Backpressure(rest_s=2.0))
         found.append(choice.choose("llm", "m", ()))
-        hold = choice.first_hold("llm", "m", ())
+        hold = choice.first_block("llm", "m", ())
         assert (hold.backend_id, hold.kind) == ("i-1", PressureKind.REST)
         assert 2.0 <= hold.free_s <= 2.3
         return found
--- a/packages/serving/tests/test_parts.py
+++ b/packages/serving/tests/test_parts.py
@@ -11,7 +11,7 @@
 
 from fordhatch.adapter import decode_configuration, decode_settings
 from fordhatch.catalog import RouteTarget
-from fordhatch.serving import BackendHealth, RepeatBudget, RouteTable
+from fordhatch.serving import BackendHealth, RetryBudget, RouteTable
 from fordhatch.serving._events import EventOrder, EventSplitter, StreamError
 from fordhatch.serving._group_progress import GroupProgress, silence_s
 from fordhatch.serving._route_table import choose_service
@@ -88,8 +88,8 @@
     assert choose_service(none, rng) is None
 
 
-def budget(clock: ManualClock, nodes: int = 9) -> RepeatBudget:
-    return RepeatBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes)
+def budget(clock: ManualClock, nodes: int = 9) -> RetryBudget:
+    return RetryBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes)
 
 
 def test_nodes_together_stay_within_the_budget() -> None:
@@ -117,7 +117,7 @@
         clock = ManualClock()
         spent = 0
         for _ in range(nodes):
-            one = RepeatBudget(bounds, clock, lambda: nodes, rng.random())
+            one = RetryBudget(bounds, clock, lambda: nodes, rng.random())
             one.allowed("s")
             clock.at_s += age_s
             while one.spend("s"):
@@ -159,7 +159,7 @@
 def test_a_node_that_left_still_counts_within_the_window() -> None:
     clock = ManualClock()
     nodes = [9]
-    one = RepeatBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes[0])
+    one = RetryBudget(decode_settings(BOUNDS).bounds, clock, lambda: nodes[0])
     one.allowed("s")
     clock.at_s += 20.0
     before = one.allowed("s")
@@ -180,13 +180,13 @@
     clock = ManualClock()
     health = BackendHealth(clock)
     for _ in range(3):
-        health.failed("i")
+        health.record_failure("i")
     clock.at_s += 1.5
     assert health.is_avoided("i")
     clock.at_s += 1.0
     assert not health.is_avoided("i")
-    health.failed("i")
-    health.succeeded("i", 0.1)
+    health.record_failure("i")
+    health.record_success("i", 0.1)
     assert not health.is_avoided("i")
 
 
@@ -194,8 +194,8 @@
     clock = ManualClock()
     health = BackendHealth(clock)
     for _ in range(10):
-        health.note_pause("slow", 0.24, 0.06)
-        health.note_pause("sound", 0.07, 0.06)
+        health.record_event_interval("slow", 0.24, 0.06)
+        health.record_event_interval("sound", 0.07, 0.06)
     assert health.slowness("slow") > 3
     assert health.slowness("sound") == 1.0
     clock.at_s += 5
@@ -205,45 +205,47 @@
 def test_silence_is_measured_over_all_streams_of_a_head() -> None:
     clock = ManualClock()
     progress = GroupProgress(clock)
-    first, second = progress.began("h"), progress.began("h")
-    progress.advanced(first, "m")
+    first, second = progress.start_run("h"), progress.start_run("h")
+    progress.record_event(first, "m")
     clock.at_s += 0.3
     assert progress.silent_for_s("h") == pytest.approx(0.3)
-    progress.advanced(second, "m")
+    progress.record_event(second, "m")
     assert progress.silent_for_s("h") == 0.0
     clock.at_s += 0.2
-    progress.ended(first)
+    progress.end_run(first)
     assert progress.silent_for_s("h") == pytest.approx(0.2)
-    progress.ended(second)
+    progress.end_run(second)
     assert progress.silent_for_s("h") == 0.0
 
 
 def test_waiting_for_the_first_event_does_not_count_as_silence() -> None:
     clock = ManualClock()
     progress = GroupProgress(clock)
-    waiting, flowing = progress.began("h"), progress.began("h")
+    waiting, flowing = progress.start_run("h"), progress.start_run("h")
     clock.at_s += 0.5
     assert progress.silent_for_s("h") == 0.0
-    progress.advanced(flowing, "m")
-    progress.ended(flowing)
+    progress.record_event(flowing, "m")
+    progress.end_run(flowing)
     clock.at_s += 0.5
     assert progress.silent_for_s("h") == 0.0
-    progress.ended(waiting)
+    progress.end_run(waiting)
 
 
 def test_the_wait_for_first_events_grows_with_their_usual_delay() -> None:
     engine = decode_configuration(engine_configuration()).services["llm"].engine
     clock = ManualClock()
     progress = GroupProgress(clock)
-    quick_s = progress.first_patience_s(engine, "small")
+    quick_s = progress.first_event_timeout_s(engine, "small")
     assert quick_s > silence_s(engine, "small")
     for _ in range(60):
-        run = progress.began("h")
+        run = progress.start_run("h")
         clock.at_s += 0.4
-        progress.advanced(run, "small")
-        progress.ended(run)
-    assert progress.first_patience_s(engine, "small") == pytest.approx(1.2, abs=0.05)
-    assert progress.first_patience_s(engine, "big") < 1.0
+        progress.record_event(run, "small")
+        progress.end_run(run)
+    assert progress.first_event_timeout_s(engine, "small") == pytest.approx(
+        1.2, abs=0.05
+    )
+    assert progress.first_event_timeout_s(engine, "big") < 1.0
 
 
 def test_a_working_group_is_never_silent_within_a_forward_pass() -> None:
--- a/packages/serving/tests/test_permits.py
+++ b/packages/serving/tests/test_permits.py
@@ -105,12 +105,12 @@
     async def scenario() -> None:
         play = LimitPlay.create(LimitTrial("permits", 2, 0.0))
         node, other = permits(play, "n0"), permits(play, "n1")
-        await node.take(SERVER)
-        assert not await node.take(SERVER)
+        await node.acquire(SERVER)
+        assert not await node.acquire(SERVER)
         await asyncio.sleep(0.1)
-        node.pressure.heard(SERVER, Backpressure())
-        assert all([await node.take(SERVER) for _ in range(20)])
-        other.pressure.take_limit(ServerLimit("i-1", None, node.timer.now_s()))
+        node.pressure.process_answer(SERVER, Backpressure())
+        assert all([await node.acquire(SERVER) for _ in range(20)])
+        other.pressure.apply_limit(ServerLimit("i-1", None, node.timer.now_s()))
         assert other.pressure.limit("i-1") is None
 
     run_in_virtual_time(scenario())
@@ -132,10 +132,10 @@
     async def scenario() -> None:
         play = LimitPlay.create(LimitTrial("permits", 1, 3.0))
         pressure = permits(play, "n0").pressure
-        old_s = pressure.limit("i-1").said_s - 1.0
-        pressure.take_limit(ServerLimit("i-1", 1.0, old_s))
-        pressure.take_limit(ServerLimit("i-1", None, old_s))
-        pressure.heard(SERVER, None)
+        old_s = pressure.limit("i-1").received_s - 1.0
+        pressure.apply_limit(ServerLimit("i-1", 1.0, old_s))
+        pressure.apply_limit(ServerLimit("i-1", None, old_s))
+        pressure.process_answer(SERVER, None)
         assert pressure.limit("i-1").per_s == 3.0
         pressure.keep_only(set())
         assert pressure.limit("i-1") is None
@@ -152,7 +152,7 @@
         for index in range(50):
             await asyncio.sleep(0.01)
             said = Backpressure(limit_per_s=10.0 + 0.01 * index)
-            pressure.heard(SERVER, said)
+            pressure.process_answer(SERVER, said)
         assert pressure.limit("i-1").per_s == 10.49
         return len(notified)
 
--- a/packages/serving/tests/test_permits_stateful.py
+++ b/packages/serving/tests/test_permits_stateful.py
@@ -17,7 +17,7 @@
 
 from fordhatch.catalog import Backpressure
 from fordhatch.registry import BackendDirectory
-from fordhatch.serving import Permit, Permits, PressureBook, ServerLimit
+from fordhatch.serving import BackpressureTracker, Permit, Permits, ServerLimit
 from fordhatch.serving._permit_issuer import PermitIssuer
 from fordhatch_lab import allowed
 from fordhatch_lab._limit_ways import SERVER
@@ -90,7 +90,7 @@
             self.rng.uniform(0.0, 1e5),
         )
         self.clocks[name] = clock
-        pressure = PressureBook(clock, BackendDirectory(clock))
+        pressure = BackpressureTracker(clock, BackendDirectory(clock))
 
         async def ask(to: str, limit: ServerLimit) -> Permit | None:
             return self._deliver(name, to, limit)
@@ -103,13 +103,13 @@
     def _deliver(self, sender: str, to: str, limit: ServerLimit) -> Permit | None:
         if {sender, to} & self.cut or self.rng.random() < self.loss_probability:
             return None
-        age_s = self.clocks[sender].now_s() - limit.said_s
+        age_s = self.clocks[sender].now_s() - limit.received_s
         received = ServerLimit(
             limit.backend_id, limit.per_s, self.clocks[to].now_s() - age_s
         )
-        permit = self.permits[to].asked_by(sender, received)
+        permit = self.permits[to].issue_to(sender, received)
         if self.rng.random() < self.duplicate_probability:
-            permit = self.permits[to].asked_by(sender, received)
+            permit = self.permits[to].issue_to(sender, received)
         # The answer may be lost too, together with its permit.
         return None if self.rng.random() < self.loss_probability else permit
 
@@ -134,13 +134,13 @@
             self._want(self.rng.choice(names))
 
     def _want(self, name: str) -> None:
-        if not run_to_completion(self.permits[name].take(SERVER)):
+        if not run_to_completion(self.permits[name].acquire(SERVER)):
             return
         is_informed = self.now_s >= self.informed_s[name] + PROPAGATION_S
         is_exempt = name in self.cut or self.now_s < self.exempt_until_s.get(name, 0)
         self.sent.append(Sent(self.now_s, name, is_informed and not is_exempt))
         said = Backpressure(limit_per_s=self.limit_per_s)
-        self.permits[name].pressure.heard(SERVER, said)
+        self.permits[name].pressure.process_answer(SERVER, said)
         self.informed_s[name] = min(self.informed_s[name], self.now_s)
 
     @rule(index=st.integers(0, 11))
--- a/packages/serving/tests/test_plain_calls.py
+++ b/packages/serving/tests/test_plain_calls.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fordhatch.catalog import Backpressure
-from fordhatch.serving import PressureBook
+from fordhatch.serving import BackpressureTracker
 from fordhatch.serving._node_state import START_RETRY_AFTER_S
 from fordhatch_standins import entry_fields, http_answer
 
@@ -353,14 +353,14 @@
 class LatePressure:
     """Permits that receive a report of backpressure just after they are granted."""
 
-    pressure: PressureBook
+    pressure: BackpressureTracker
     reported: Backpressure
 
-    async def take(self, backend) -> bool:
-        self.pressure.heard(backend, self.reported)
+    async def acquire(self, backend) -> bool:
+        self.pressure.process_answer(backend, self.reported)
         return True
 
-    def log_hold(self, *args, **kwargs) -> None:
+    def log_block(self, *args, **kwargs) -> None:
         pass
 
 
--- a/packages/serving/tests/test_quarantine.py
+++ b/packages/serving/tests/test_quarantine.py
@@ -182,8 +182,8 @@
     quarantine, shared = site()
     shared.observe_changes([row("a", "x")])
     reported = [CrashRecord("a", b, BEGUN, "n2") for b in "xyz"]
-    assert quarantine.hear(reported) == reported[1:]
-    assert quarantine.hear(reported) == []
+    assert quarantine.record_remote(reported) == reported[1:]
+    assert quarantine.record_remote(reported) == []
     assert quarantine.take_unpublished("a") == []
     assert quarantine.is_quarantined(Content("a"))
 
--- a/packages/serving/tests/test_stream_calls.py
+++ b/packages/serving/tests/test_stream_calls.py
@@ -11,7 +11,7 @@
 
 from fordhatch.adapter import BACKENDS_TABLE, RowKey
 from fordhatch.registry import SHARED_TABLE, Suspicion, slow_key, suspicion_key
-from fordhatch.serving._group_progress import SILENCE_FLOOR_S
+from fordhatch.serving._group_progress import MIN_SILENCE_S
 from fordhatch_standins import SIGNATURE, entry_fields, http_answer
 
 UNUSED_ADDRESS = "127.0.0.1:1"
@@ -266,8 +266,8 @@
     member = site.view.directory.backends["m-1"]
     listener = await site.start_listener()
     alive = attrs.evolve(member, backend_id="m-2", address=listener)
-    assert await stalls._missed([member, alive]) == [member]
-    await stalls._until_whole(key, [alive])
+    assert await stalls._unanswering([member, alive]) == [member]
+    await stalls._poll_until_complete(key, [alive])
     assert key not in stalls._found_lost
 
 
@@ -303,11 +303,15 @@
     site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Far above the delay that a busy machine may add.
-    monkeypatch.setattr("fordhatch.serving._group_progress.FIRST_SILENCES", 50.0)
-    monkeypatch.setattr("fordhatch.serving._group_progress.FIRST_MOST_S", 20.0)
+    monkeypatch.setattr(
+        "fordhatch.serving._group_progress.MIN_FIRST_EVENT_SILENCES", 50.0
+    )
+    monkeypatch.setattr(
+        "fordhatch.serving._group_progress.MAX_FIRST_EVENT_WAIT_S", 20.0
+    )
 
     async def begins_late(request, writer) -> None:
-        await asyncio.sleep(1.1 * SILENCE_FLOOR_S)
+        await asyncio.sleep(1.1 * MIN_SILENCE_S)
         await streams(request, writer)
 
     busy = await site.add_backend(begins_late, group="small.1", zone="z1")
--- a/standins/src/fordhatch_lab/_lab_load.py
+++ b/standins/src/fordhatch_lab/_lab_load.py
@@ -35,7 +35,7 @@
         self.outcome = failure.code.name.lower()
         self.seen.refusal = failure
 
-    async def whole(
+    async def send_complete(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         """Take an answer that is no stream."""
--- a/standins/src/fordhatch_lab/_limit_ways.py
+++ b/standins/src/fordhatch_lab/_limit_ways.py
@@ -11,7 +11,7 @@
 from fordhatch.catalog import BackendServer, BackendState, Backpressure
 from fordhatch.core import Timer
 from fordhatch.registry import BackendDirectory
-from fordhatch.serving import Permit, Permits, PressureBook, ServerLimit
+from fordhatch.serving import BackpressureTracker, Permit, Permits, ServerLimit
 from fordhatch.serving._permit_issuer import PermitIssuer
 
 SERVER = BackendServer("i-1", "llm", "10.0.0.1:1", "z1", BackendState.READY, 13)
@@ -116,18 +116,18 @@
         async def ask(to: str, limit: ServerLimit) -> Permit | None:
             if not await nodes.reach(name, to):
                 return None
-            return nodes.ways[to].permits.asked_by(name, limit)
+            return nodes.ways[to].permits.issue_to(name, limit)
 
-        pressure = PressureBook(timer, BackendDirectory(timer))
+        pressure = BackpressureTracker(timer, BackendDirectory(timer))
         issuer = PermitIssuer(name, timer.rng)
         names: Callable[[], Collection[str]] = lambda: nodes.ways  # noqa: E731
         permits = Permits(name, timer, pressure, issuer, names, ask)
-        pressure.heard(SERVER, Backpressure(limit_per_s=nodes.limit_per_s))
+        pressure.process_answer(SERVER, Backpressure(limit_per_s=nodes.limit_per_s))
         return cls(permits)
 
     async def take(self) -> bool:
         """Ask for a permit."""
-        return await self.permits.take(SERVER)
+        return await self.permits.acquire(SERVER)
 
     def answered(self, *, is_refused: bool) -> None:
         """Nothing is learnt from answers."""
--- a/standins/src/fordhatch_standins/_memory_exchange.py
+++ b/standins/src/fordhatch_standins/_memory_exchange.py
@@ -92,7 +92,7 @@
         """Send a request and wait for the head of the answer."""
         self.connections += 1
         await asyncio.sleep(LINK_S)
-        stopped = request.may_go(backend.backend_id)
+        stopped = request.recheck(backend.backend_id)
         if stopped is not None:
             return Err(SendFailure(SendProblem.NOT_SENT, stopped.code.name))
         call = self._call(request, backend, urgency, last_event_id)
@@ -106,18 +106,18 @@
             async with self.timer.timeout(head_timeout_s):
                 first = await anext(pieces)
         except NotExecuted as refusal:
-            request.arrived_at(backend.backend_id, may_have_run=False)
+            request.record_arrival(backend.backend_id, may_have_run=False)
             if refusal.status == _OTHER_BACKEND:
                 return Err(SendFailure(SendProblem.OTHER_BACKEND, refusal.at_fault))
             asked = self._asked(backend, refused=True)
             return Err(SendFailure(SendProblem.REFUSED, refusal.at_fault, asked))
         except (CutOff, StopAsyncIteration) as error:
-            request.arrived_at(backend.backend_id, may_have_run=True)
+            request.record_arrival(backend.backend_id, may_have_run=True)
             return Err(SendFailure(SendProblem.CONNECTION_LOST, repr(error)))
         except TimeoutError:
-            request.arrived_at(backend.backend_id, may_have_run=True)
+            request.record_arrival(backend.backend_id, may_have_run=True)
             return Err(SendFailure(SendProblem.SILENT, "no head in time"))
-        request.arrived_at(backend.backend_id, may_have_run=True)
+        request.record_arrival(backend.backend_id, may_have_run=True)
         fields = AnswerFields(
             request.fields.request_id,
             RefusalKind.NONE,
--- a/standins/tests/test_outages.py
+++ b/standins/tests/test_outages.py
@@ -27,7 +27,7 @@
 
 
 def serving(site: LabSite) -> list[bool]:
-    return [one.node.state.why_not() is None for one in site.nodes]
+    return [one.node.state.refusal() is None for one in site.nodes]
 
 
 def test_all_nodes_serve_on_through_an_outage_for_all() -> None:
--- a/standins/tests/test_store_comes_back_older.py
+++ b/standins/tests/test_store_comes_back_older.py
@@ -140,7 +140,7 @@
     async def scenario(site: LabSite) -> None:
         await lose(site)
         await asyncio.sleep(1.0)
-        assert all(one.node.state.why_not() is None for one in site.nodes)
+        assert all(one.node.state.refusal() is None for one in site.nodes)
 
     play(scenario)
 
