--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -58,7 +58,7 @@
     ),
     Mechanism(
         "evidence of an outage for all",
-        f"{SERVING}/_freshness.py",
+        f"{SERVING}/_knowledge.py",
         "    if is_system_wide_outage and not bounds.is_revocation_strict:\n",
         "    if False:\n",
     ),
@@ -109,7 +109,7 @@
     Mechanism(
         "models exchange groups",
         f"{PLACEMENT}/_group_builder.py",
-        "            left = self._convert(layout, left, kept)\n",
+        "            remaining = self._convert(layout, remaining, kept)\n",
         "            pass\n",
     ),
     Mechanism(
--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -222,14 +222,14 @@
     ),
     Guard(
         "CONFIG: strict removal of keys has its limit in any outage",
-        "serving/_freshness.py",
+        "serving/_knowledge.py",
         "    if is_system_wide_outage and not bounds.is_revocation_strict:\n",
         "    if is_system_wide_outage:\n",
         f"{SERVING}/test_freshness.py -k strict_removal",
     ),
     Guard(
         "DENIED: knowledge in an outage denies nothing",
-        "serving/_freshness.py",
+        "serving/_knowledge.py",
         "        return Freshness.GOOD\n",
         "        return Freshness.CERTAIN\n",
         f"{SERVING}/test_freshness.py -k denied_by_a_certain",
--- a/packages/node/src/fordhatch/node/_demand_survey.py
+++ b/packages/node/src/fordhatch/node/_demand_survey.py
@@ -48,7 +48,7 @@
         """
         while True:
             await self.lease.until_held()
-            self.estimator.heard(
+            self.estimator.record_report(
                 self.node_name, self.meter.demand(), self.timer.now_s()
             )
             await asyncio.gather(*(self._query(node) for node in self._next_nodes()))
@@ -77,7 +77,7 @@
             (service, model): ModelDemand(requests_per_s, busy_groups)
             for service, model, requests_per_s, busy_groups in reply.models
         }
-        self.estimator.heard(node.name, demand, self.timer.now_s())
+        self.estimator.record_report(node.name, demand, self.timer.now_s())
 
     async def _request(self, node: NodeAddress) -> Result[object, Failure]:
         return await self.pool.request(node.address, QueryDemand(), QUERY_TIMEOUT_S)
--- a/packages/placement/src/fordhatch/placement/__init__.py
+++ b/packages/placement/src/fordhatch/placement/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ._conversion import Conversion, choose_conversion
-from ._demand_estimator import DemandEstimator
+from ._demand_book import DemandEstimator
 from ._group_need import group_need
 from ._layout import GroupPlan, Layout, choose_group
 from ._load_budget import LoadBudget
--- a/packages/placement/src/fordhatch/placement/_layout.py
+++ b/packages/placement/src/fordhatch/placement/_layout.py
@@ -9,7 +9,7 @@
 
 from fordhatch.catalog import BackendServer, EngineProfile, ModelProfile
 
-from ._demand_estimator import declared_busy_groups
+from ._demand_book import declared_busy_groups
 from ._group_need import group_need
 
 REJOIN_S = 0.2
--- a/packages/placement/src/fordhatch/placement/_planner.py
+++ b/packages/placement/src/fordhatch/placement/_planner.py
@@ -21,7 +21,7 @@
 
 from ._crash_loops import CrashLoops
 from ._crash_record_cleaner import CrashRecordCleaner
-from ._demand_estimator import DemandEstimator
+from ._demand_book import DemandEstimator
 from ._dissolutions import Dissolutions
 from ._formations import Formations
 from ._group_builder import GroupBuilder
--- a/packages/serving/src/fordhatch/serving/_admission.py
+++ b/packages/serving/src/fordhatch/serving/_admission.py
@@ -11,7 +11,7 @@
 from fordhatch.core import Failure, ResultCode, Timer
 
 from ._backpressure import BackpressureTracker
-from ._freshness import Freshness
+from ._knowledge import Freshness
 from ._node_state import OTHER_NODE_RETRY_AFTER_S, NodeState
 from ._quarantine import Quarantine
 from ._request import ServedRequest
--- a/packages/serving/src/fordhatch/serving/_node_state.py
+++ b/packages/serving/src/fordhatch/serving/_node_state.py
@@ -12,7 +12,7 @@
 from fordhatch.core import Failure, ResultCode, Timer, log_event, metrics
 from fordhatch.registry import StoreView
 
-from ._freshness import Freshness, classify_freshness
+from ._knowledge import Freshness, classify_freshness
 from ._request import Reply
 
 OTHER_NODE_RETRY_AFTER_S = 0.2
--- a/packages/serving/tests/test_freshness.py
+++ b/packages/serving/tests/test_freshness.py
@@ -12,7 +12,7 @@
 from planning_site import BOUNDS
 
 from fordhatch.adapter import decode_settings
-from fordhatch.serving._freshness import Freshness, classify_freshness
+from fordhatch.serving._knowledge import Freshness, classify_freshness
 
 STRICT = attrs.evolve(decode_settings(BOUNDS).bounds, is_revocation_strict=True)
 LENIENT = attrs.evolve(STRICT, is_revocation_strict=False)
