--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -47,8 +47,8 @@
     Mechanism(
         "callers' port opened early",
         "deploy/entry.py",
-        "callers_port = open_callers_port()\n",
-        "callers_port = None\n",
+        "callers_socket = open_callers_port()\n",
+        "callers_socket = None\n",
     ),
     Mechanism(
         "generated code from the cache",
--- a/bench/platform_guards.py
+++ b/bench/platform_guards.py
@@ -118,7 +118,7 @@
     Guard(
         "CONFIG: a forgotten history is made up for by reading whole",
         "registry/_table_follower.py",
-        "            got = await self.source.update(self.table, NOTHING, 0.0)\n",
+        "            got = await self.source.update(self.table, BEFORE_ALL_VERSIONS, 0.0)\n",
         "            pass\n",
         f"{REGISTRY}/test_store_view.py -k forgotten_history",
     ),
--- a/deploy/entry.py
+++ b/deploy/entry.py
@@ -35,7 +35,7 @@
 # turned away by a closed port.
 from fordhatch_early import open_callers_port  # noqa: E402
 
-callers_port = open_callers_port()
+callers_socket = open_callers_port()
 compile_cache.use()
 
 from fordhatch.node import run_on_platform  # noqa: E402
@@ -45,4 +45,4 @@
 gc.enable()
 
 if __name__ == "__main__":
-    run_on_platform(callers_port)
+    run_on_platform(callers_socket)
--- a/packages/catalog/src/fordhatch/catalog/_backends.py
+++ b/packages/catalog/src/fordhatch/catalog/_backends.py
@@ -97,6 +97,6 @@
         return self.is_head and self.membership.state is MemberState.OPEN
 
     @property
-    def takes_streams(self) -> bool:
+    def accepts_streams(self) -> bool:
         """Whether this is the head of an open group and not draining."""
         return self.is_open_head and self.state is BackendState.READY
--- a/packages/catalog/src/fordhatch/catalog/_configuration.py
+++ b/packages/catalog/src/fordhatch/catalog/_configuration.py
@@ -73,7 +73,7 @@
     """Time to load the weights from the weight store."""
     warm_s: float
     """Time to load the weights when they are preloaded into host memory."""
-    wanted_groups: int | None = None
+    declared_groups: int | None = None
     """Declared number of groups; None where the share decides."""
     most_groups: int | None = None
     """Maximum number of groups; None for no limit."""
--- a/packages/chat/src/fordhatch/chat/_claims.py
+++ b/packages/chat/src/fordhatch/chat/_claims.py
@@ -78,13 +78,13 @@
     timer: Timer
     expiry_s: float
     row_bytes: int
-    kept: ClaimRestorer = attrs.field(init=False)
+    restorer: ClaimRestorer = attrs.field(init=False)
     _tasks: TaskSet = attrs.field(factory=TaskSet)
     _next_part: int = 0
 
     def __attrs_post_init__(self) -> None:
         """Create the restorer of this node's claims."""
-        self.kept = ClaimRestorer(self.store, self.timer)
+        self.restorer = ClaimRestorer(self.store, self.timer)
 
     # Acquiring.
 
@@ -98,7 +98,7 @@
             A ticket, or the claim that already exists. A failure has ``ran`` no:
             without a ticket the request is not sent.
         """
-        if not self.kept.may_claim():
+        if not self.restorer.may_claim():
             return Err(_claim_failure())
         claim = Claim(
             self._new_write_id(),
@@ -138,11 +138,11 @@
         The response to the claim's own write may be the first sign of the restore.
         """
         ticket = Ticket(key, attrs.evolve(claim, version=version))
-        if not self.kept.may_claim():
+        if not self.restorer.may_claim():
             self._tasks.spawn(self.release(ticket), "release-after-return")
             return Err(_claim_failure())
         metrics.CLAIMS.labels("taken").inc()
-        self.kept.remember(key, claim)
+        self.restorer.remember(key, claim)
         return Ok(ticket)
 
     def _new_write_id(self) -> str:
@@ -221,9 +221,9 @@
         if new is not None:
             new = attrs.evolve(new, write_id=self._new_write_id())
             puts[row_key] = new.to_bytes()
-            self.kept.remember(key, new)
+            self.restorer.remember(key, new)
         else:
-            self.kept.forget(key)
+            self.restorer.forget(key)
         removes = () if new is not None else (row_key,)
         for attempt in range(MAX_WRITE_ATTEMPTS):
             await self._pause(attempt)
@@ -346,7 +346,7 @@
     async def close(self) -> None:
         """Wait for pending writes of claims, then stop."""
         await self._tasks.drain()
-        await self.kept.close()
+        await self.restorer.close()
 
 
 def _is_expired(row: object, now_s: float) -> bool:
--- a/packages/config/src/fordhatch/config/_declared_configuration.py
+++ b/packages/config/src/fordhatch/config/_declared_configuration.py
@@ -181,7 +181,7 @@
         pace=times.pace,
         load_s=times.load_s,
         warm_s=times.warm_s,
-        wanted_groups=service.groups,
+        declared_groups=service.groups,
         most_groups=service.most_groups if adds_groups else service.groups,
         weight=max(service.importance, 1) / 50.0,
     )
--- a/packages/config/tests/test_apply.py
+++ b/packages/config/tests/test_apply.py
@@ -226,7 +226,7 @@
         current = nodes[0].view.configuration.current
         (model_profile,) = current.services["a100"].engine.models
         assert model_profile.name == "estimator@2026-11"
-        assert (model_profile.size, model_profile.wanted_groups) == (4, 2)
+        assert (model_profile.size, model_profile.declared_groups) == (4, 2)
         assert current.services["yard-app"].engine is None
         assert len({w.name for w in current.workspace_by_key.values()}) == 10
 
--- a/packages/core/src/fordhatch/core/_timer.py
+++ b/packages/core/src/fordhatch/core/_timer.py
@@ -125,7 +125,9 @@
             except Exception as error:
                 log_event("step_failed", part=name, error=repr(error))
 
-    async def keep(self, run: Callable[[], Awaitable[object]], *, name: str) -> None:
+    async def supervise(
+        self, run: Callable[[], Awaitable[object]], *, name: str
+    ) -> None:
         """Run a component forever; one that raises is logged and restarted.
 
         Args:
--- a/packages/daemon/src/fordhatch/daemon/_daemon.py
+++ b/packages/daemon/src/fordhatch/daemon/_daemon.py
@@ -10,7 +10,7 @@
 from fordhatch.chat import ChatServer, ClaimService
 from fordhatch.config import DECLARED_ROW, Address, Settings
 from fordhatch.core import TaskSet, Timer, log_event
-from fordhatch.node import Clients, Node, close_in_time, stop_event
+from fordhatch.node import Clients, Node, close_with_timeout, stop_event
 from fordhatch.operators import OperatorsApp
 from fordhatch.serving import HttpServer
 
@@ -69,8 +69,8 @@
             CLAIM_CLEANUP_INTERVAL_S, self._clean_claims, name="clean"
         )
         self._tasks.spawn(cleanup_loop, "clean")
-        kept_claims_loop = self.node.timer.keep(
-            self.claims.kept.run, name="kept-claims"
+        kept_claims_loop = self.node.timer.supervise(
+            self.claims.restorer.run, name="kept-claims"
         )
         self._tasks.spawn(kept_claims_loop, "kept-claims")
 
@@ -93,7 +93,7 @@
             listen_for_s=self.settings.timing.drain_grace_s,
         )
         operators.close()
-        await close_in_time(callers.close, self.close)
+        await close_with_timeout(callers.close, self.close)
 
     async def close(self) -> None:
         """Stop the background tasks, the claim service and the node."""
--- a/packages/node/src/fordhatch/node/__init__.py
+++ b/packages/node/src/fordhatch/node/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ._clients import Clients
-from ._daemon import close_in_time, run_logged, run_on_platform, stop_event
+from ._daemon import close_with_timeout, run_logged, run_on_platform, stop_event
 from ._node import Node
 from ._platform_edge import PlatformEdge, render
 from ._settings_watch import SettingsWatch
@@ -13,7 +13,7 @@
     "Node",
     "PlatformEdge",
     "SettingsWatch",
-    "close_in_time",
+    "close_with_timeout",
     "render",
     "run_logged",
     "run_on_platform",
--- a/packages/node/src/fordhatch/node/_daemon.py
+++ b/packages/node/src/fordhatch/node/_daemon.py
@@ -36,11 +36,11 @@
 """File descriptor to which the log is written."""
 
 
-def run_on_platform(callers_port: socket.socket | None = None) -> None:
+def run_on_platform(callers_socket: socket.socket | None = None) -> None:
     """Run a node with the settings file that the platform names.
 
     Args:
-        callers_port: A socket that already listens at the callers' address.
+        callers_socket: A socket that already listens at the callers' address.
     """
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
@@ -54,7 +54,9 @@
         for mistake in error.mistakes:
             print(f"fordhatchd: code=502 {path}: {mistake}", file=sys.stderr)
         sys.exit(EXIT_BAD_SETTINGS)
-    run_logged(settings.node_name, lambda: _run(settings, path, content, callers_port))
+    run_logged(
+        settings.node_name, lambda: _run(settings, path, content, callers_socket)
+    )
 
 
 def run_logged(node_name: str, run: Callable[[], Awaitable[None]]) -> None:
@@ -80,7 +82,7 @@
     return stop
 
 
-async def close_in_time(*closing: Callable[[], Awaitable[None]]) -> None:
+async def close_with_timeout(*closing: Callable[[], Awaitable[None]]) -> None:
     """Close the components of a node in order, within ``CLOSE_LIMIT_S``.
 
     Args:
@@ -100,7 +102,7 @@
     settings: NodeSettings,
     path: Path,
     content: str,
-    callers_port: socket.socket | None,
+    callers_socket: socket.socket | None,
 ) -> None:
     stop = stop_event()
     timer = Timer.from_seed(settings.node_name)
@@ -111,9 +113,9 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, settings_watch.reload)
     await node.start()
-    await edge.listen(callers_port)
+    await edge.listen(callers_socket)
     watching = asyncio.ensure_future(settings_watch.run())
     await stop.wait()
     await node.leave(edge.stop_listening, listen_for_s=LISTEN_AFTER_TERM_S)
     watching.cancel()
-    await close_in_time(edge.close, node.close)
+    await close_with_timeout(edge.close, node.close)
--- a/packages/node/src/fordhatch/node/_node.py
+++ b/packages/node/src/fordhatch/node/_node.py
@@ -173,14 +173,14 @@
         self.view.start()
         self.crash_gossip.start()
         self.pressure_gossip.start()
-        keep, every = self.timer.keep, self.timer.every
-        self._tasks.spawn(keep(self.registration.run, name="register"), "register")
-        self._tasks.spawn(keep(self.lease.run, name="lease"), "lease")
-        self._tasks.spawn(keep(self.planner.run, name="planner"), "planner")
+        supervise, every = self.timer.supervise, self.timer.every
+        self._tasks.spawn(supervise(self.registration.run, name="register"), "register")
+        self._tasks.spawn(supervise(self.lease.run, name="lease"), "lease")
+        self._tasks.spawn(supervise(self.planner.run, name="planner"), "planner")
         survey = OutageSurvey(
             self.settings.node_name, self.view, self.clients.pool, self.timer
         )
-        self._tasks.spawn(keep(survey.run, name="survey"), "survey")
+        self._tasks.spawn(supervise(survey.run, name="survey"), "survey")
         demand = DemandSurvey(
             self.settings.node_name,
             self.view,
@@ -190,7 +190,7 @@
             self.path.demand,
             self.planner.demand,
         )
-        self._tasks.spawn(keep(demand.run, name="demand"), "demand")
+        self._tasks.spawn(supervise(demand.run, name="demand"), "demand")
         self._tasks.spawn(
             every(CLEANUP_INTERVAL_S, self._clean_up, name="forget"), "forget"
         )
@@ -246,7 +246,7 @@
     async def _clean_up(self) -> None:
         """Remove records of departed backend servers and update the gauges."""
         self.path.prune()
-        self.view.directory.forget_departures()
+        self.view.directory.expire_departures()
         for (service, kind), count in self.path.permits.pressure.counts().items():
             metrics.BACKENDS_ASKING.labels(service, kind.value).set(count)
 
--- a/packages/node/src/fordhatch/node/_platform_edge.py
+++ b/packages/node/src/fordhatch/node/_platform_edge.py
@@ -32,21 +32,21 @@
         """Return the edge of a node, which does not listen yet."""
         return cls(node, CallerServer.from_path(node.path, node.timer))
 
-    async def listen(self, callers_port: socket.socket | None = None) -> None:
+    async def listen(self, callers_socket: socket.socket | None = None) -> None:
         """Listen at the addresses given in the settings.
 
         Args:
-            callers_port: A socket that already listens at the callers' address.
+            callers_socket: A socket that already listens at the callers' address.
         """
         settings = self.node.settings
         await self._listen(settings.ready_address, self._answer_ready)
         metrics_address = f"{settings.instance_address}:{METRICS_PORT}"
         await self._listen(metrics_address, self._answer_metrics)
-        await self._listen(settings.caller_address, self.callers.handle, callers_port)
+        await self._listen(settings.caller_address, self.callers.handle, callers_socket)
         log_event(
             "listening",
             callers=settings.caller_address,
-            early=callers_port is not None,
+            early=callers_socket is not None,
         )
 
     async def _listen(
--- a/packages/node/src/fordhatch/node/_pressure_gossip.py
+++ b/packages/node/src/fordhatch/node/_pressure_gossip.py
@@ -11,7 +11,7 @@
 from fordhatch.core import TaskSet, Timer
 from fordhatch.protocol import Channel, PeerPool
 from fordhatch.protocol.messages import (
-    MOST_AGE_S,
+    MAX_AGE_S,
     AskPermit,
     PermitReply,
     PressureNoted,
@@ -113,7 +113,7 @@
         return PressureSeen(entries, departures)
 
     def _age_s(self, limit: ServerLimit) -> float:
-        return min(max(self.timer.now_s() - limit.received_s, 0.0), MOST_AGE_S)
+        return min(max(self.timer.now_s() - limit.received_s, 0.0), MAX_AGE_S)
 
     async def receive(self, message: PressureSeen, channel: Channel) -> None:
         """Apply another node's update and acknowledge it."""
--- a/packages/placement/src/fordhatch/placement/_demand_book.py
+++ b/packages/placement/src/fordhatch/placement/_demand_book.py
@@ -191,7 +191,7 @@
         weight = requests_per_s / (requests_per_s + DECLARED_WEIGHT_REQUESTS_PER_S)
         return {
             model.name: declared[model.name]
-            if model.wanted_groups is not None
+            if model.declared_groups is not None
             else weight * self._estimate_of(service, model).busy_groups
             + (1.0 - weight) * declared[model.name]
             for model in profile.models
@@ -231,8 +231,8 @@
     return {
         m.name: DECLARED_UTILIZATION
         * (
-            float(m.wanted_groups)
-            if m.wanted_groups is not None
+            float(m.declared_groups)
+            if m.declared_groups is not None
             else m.share / total * backends / m.size
         )
         for m in profile.models
--- a/packages/placement/src/fordhatch/placement/_layout.py
+++ b/packages/placement/src/fordhatch/placement/_layout.py
@@ -97,8 +97,8 @@
 
         It is the declared number, or else follows the model's fraction of the work.
         """
-        if model.wanted_groups is not None:
-            return max(float(model.wanted_groups), MIN_TARGET_GROUPS)
+        if model.declared_groups is not None:
+            return max(float(model.declared_groups), MIN_TARGET_GROUPS)
         total = (
             sum(self._busy_groups_of(m) * m.size for m in self.profile.models) or 1.0
         )
--- a/packages/placement/src/fordhatch/placement/_loss_check.py
+++ b/packages/placement/src/fordhatch/placement/_loss_check.py
@@ -60,7 +60,7 @@
             found = await probe(self.backends, backend)
         finally:
             self._probing.discard(backend_id)
-        if found.is_ok() and found.unwrap().is_of(backend):
+        if found.is_ok() and found.unwrap().matches(backend):
             self._last_answered_s[backend_id] = sent_s
             self.dead.discard(backend_id)
             return
--- a/packages/placement/src/fordhatch/placement/_order_sender.py
+++ b/packages/placement/src/fordhatch/placement/_order_sender.py
@@ -87,7 +87,7 @@
         )
         # A join may also be refused because of its epoch, if the same planner has
         # sent a newer join since.
-        if reply is not None and reply.is_too_old and order.kind is not OrderKind.JOIN:
+        if reply is not None and reply.is_outdated and order.kind is not OrderKind.JOIN:
             self._check_superseded(order)
         if on_reply is not None:
             on_reply(response)
--- a/packages/placement/src/fordhatch/placement/_planner.py
+++ b/packages/placement/src/fordhatch/placement/_planner.py
@@ -155,7 +155,7 @@
             supervisor, formations, dissolutions, timer, planner.next_epoch
         )
         directory.subscribe_changes(planner._record_model)
-        directory.subscribe_ends(planner._handle_termination)
+        directory.subscribe_removals(planner._handle_termination)
         return planner
 
     async def run(self) -> None:
--- a/packages/placement/tests/test_demand_book.py
+++ b/packages/placement/tests/test_demand_book.py
@@ -72,7 +72,7 @@
 
 
 def test_declared_numbers_of_groups_take_precedence_over_demand() -> None:
-    models = tuple(attrs.evolve(m, wanted_groups=3) for m in PROFILE.models)
+    models = tuple(attrs.evolve(m, declared_groups=3) for m in PROFILE.models)
     profile = attrs.evolve(PROFILE, models=models)
     book = DemandEstimator()
     record_reports(book, 24.0, 158.0, 0.0, 4.0)
--- a/packages/protocol/src/fordhatch/protocol/_messages.py
+++ b/packages/protocol/src/fordhatch/protocol/_messages.py
@@ -259,31 +259,31 @@
     """Service, model, requests per second, and the full groups that these occupy."""
 
 
-MOST_LIMIT_PER_S = 1e6
+MAX_LIMIT_PER_S = 1e6
 """Maximum accepted rate limit of a backend server; above the rate of any."""
 
-MOST_AGE_S = 1e6
+MAX_AGE_S = 1e6
 """Maximum accepted age or delay in a message."""
 
 
 def _is_limit(limit_per_s: object) -> bool:
     if limit_per_s is None:
         return True
-    return type(limit_per_s) is float and 0.0 <= limit_per_s <= MOST_LIMIT_PER_S
+    return type(limit_per_s) is float and 0.0 <= limit_per_s <= MAX_LIMIT_PER_S
 
 
 def _is_age(age_s: object) -> bool:
-    return type(age_s) is float and 0.0 <= age_s <= MOST_AGE_S
+    return type(age_s) is float and 0.0 <= age_s <= MAX_AGE_S
 
 
 def _limit(_: object, attribute: attrs.Attribute, value: object) -> None:
     if not _is_limit(value):
-        raise FieldError(f"{attribute.name}: expected 0 to {MOST_LIMIT_PER_S:g}")
+        raise FieldError(f"{attribute.name}: expected 0 to {MAX_LIMIT_PER_S:g}")
 
 
 def _age(_: object, attribute: attrs.Attribute, value: object) -> None:
     if not _is_age(value):
-        raise FieldError(f"{attribute.name}: expected 0 to {MOST_AGE_S:g}")
+        raise FieldError(f"{attribute.name}: expected 0 to {MAX_AGE_S:g}")
 
 
 def _limits(_: object, attribute: attrs.Attribute, value: object) -> None:
--- a/packages/protocol/src/fordhatch/protocol/messages.py
+++ b/packages/protocol/src/fordhatch/protocol/messages.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from ._messages import (
+    MAX_AGE_S,
+    MAX_LIMIT_PER_S,
     MESSAGE_BY_TAG,
-    MOST_AGE_S,
-    MOST_LIMIT_PER_S,
     PROTOCOL_VERSION,
     SINGLE_ANSWER_REQUESTS,
     TAG_BY_MESSAGE,
@@ -30,9 +30,9 @@
 )
 
 __all__ = [
+    "MAX_AGE_S",
+    "MAX_LIMIT_PER_S",
     "MESSAGE_BY_TAG",
-    "MOST_AGE_S",
-    "MOST_LIMIT_PER_S",
     "PROTOCOL_VERSION",
     "SINGLE_ANSWER_REQUESTS",
     "TAG_BY_MESSAGE",
--- a/packages/registry/src/fordhatch/registry/_backend_directory.py
+++ b/packages/registry/src/fordhatch/registry/_backend_directory.py
@@ -102,7 +102,7 @@
         """Call ``call`` with each backend server that is new or has changed."""
         self._change_subscribers.append(call)
 
-    def subscribe_ends(self, call: Callable[[BackendServer, bool], None]) -> None:
+    def subscribe_removals(self, call: Callable[[BackendServer, bool], None]) -> None:
         """Call ``call`` with each backend server that is removed.
 
         Args:
@@ -114,13 +114,13 @@
     # Updates of the table.
 
     def observe_snapshot(
-        self, rows: Sequence[Row], *, is_restore: bool = False
+        self, rows: Sequence[Row], *, is_restored: bool = False
     ) -> None:
         """Apply all rows of the table.
 
         Args:
             rows: The rows.
-            is_restore: Whether they are the first rows of a store that was restored
+            is_restored: Whether they are the first rows of a store that was restored
                 from a backup.
         """
         is_first = not self._entries
@@ -132,18 +132,20 @@
             elif registered_id not in self._lapsed:
                 self._remove_entry(registered_id, "not listed")
         for row in rows:
-            self._add_pending(row, is_restored=is_restore)
+            self._add_pending(row, is_restored=is_restored)
         if self.logs_changes and not is_first:
             self._apply_pending()
         log_event("backends_listed", backends=len(present))
         self._notify(before)
 
-    def observe_changes(self, rows: Sequence[Row], *, is_restore: bool = False) -> None:
+    def observe_changes(
+        self, rows: Sequence[Row], *, is_restored: bool = False
+    ) -> None:
         """Apply changed rows in order; see ``observe_snapshot``."""
         before = self.version
         for row in rows:
             if not row.is_removed:
-                self._add_pending(row, is_restored=is_restore)
+                self._add_pending(row, is_restored=is_restored)
             elif not self._is_after_outage():
                 self._remove_entry(row.row_key.key, "removed")
             elif row.row_key.key in self._entries:
@@ -184,7 +186,7 @@
             log_event("backends_restored", members=len(missing))
         self._notify(before)
 
-    def note_leaving(self, backend_id: str) -> bool:
+    def record_departure(self, backend_id: str) -> bool:
         """Record that a backend server is leaving; returns whether that is new."""
         known = self.backends.get(backend_id)
         if known is None or not self.departures.add(backend_id):
@@ -194,7 +196,7 @@
         self._notify(before)
         return True
 
-    def forget_departures(self) -> None:
+    def expire_departures(self) -> None:
         """Use the entries again of backend servers that announced but did not leave."""
         before = self.version
         for backend_id in self.departures.pop_expired():
--- a/packages/registry/src/fordhatch/registry/_backend_index.py
+++ b/packages/registry/src/fordhatch/registry/_backend_index.py
@@ -64,7 +64,7 @@
         self._addresses.setdefault(backend.address, {})[backend_id] = backend
         if backend.membership is not None:
             self._put_member(backend)
-        if backend.takes_streams:
+        if backend.accepts_streams:
             model = model_of_group(backend.membership.group)
             heads = self._heads.setdefault(backend.service, {})
             heads.setdefault(model, {})[backend_id] = backend
@@ -87,7 +87,7 @@
         _remove_from(self._addresses, known.address, backend_id)
         if known.membership is not None:
             self._remove_member(known)
-        if known.takes_streams:
+        if known.accepts_streams:
             model = model_of_group(known.membership.group)
             _remove_from(self._heads[known.service], model, backend_id)
         return known
--- a/packages/registry/src/fordhatch/registry/_store_view.py
+++ b/packages/registry/src/fordhatch/registry/_store_view.py
@@ -102,19 +102,19 @@
 
         def apply_configuration(update: TableUpdate) -> TableUpdate:
             configuration.observe(update.rows)
-            is_restore = operators.copy.is_restore(update) and update.is_from_store
-            if is_restore and is_own_table and row_restorer is not None:
+            is_restored = operators.copy.is_restore(update) and update.is_from_store
+            if is_restored and is_own_table and row_restorer is not None:
                 row_restorer.write(configuration.lost(update), operators.copy)
             return configuration.replace_others(update)
 
         def apply_backends(update: TableUpdate) -> TableUpdate:
             directory.logs_changes = update.is_from_store
             directory.outage_ended_s = backends.outage_ended_s
-            is_restore = backends.copy.is_restore(update)
+            is_restored = backends.copy.is_restore(update)
             if update.is_whole:
-                directory.observe_snapshot(update.rows, is_restore=is_restore)
+                directory.observe_snapshot(update.rows, is_restored=is_restored)
             else:
-                directory.observe_changes(update.rows, is_restore=is_restore)
+                directory.observe_changes(update.rows, is_restored=is_restored)
             mark_read(BACKENDS_TABLE)
             return update
 
@@ -175,8 +175,8 @@
 
     def start(self) -> None:
         """Start to follow every table."""
-        keep = self.timer.keep
-        self._tasks.spawn(keep(self.tables.run, name="tables"), "tables")
+        supervise = self.timer.supervise
+        self._tasks.spawn(supervise(self.tables.run, name="tables"), "tables")
         self._tasks.spawn(
             self.timer.every(EXPIRE_INTERVAL_S, self._expire, name="expire"), "expire"
         )
--- a/packages/registry/src/fordhatch/registry/_table_copy.py
+++ b/packages/registry/src/fordhatch/registry/_table_copy.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from fordhatch.adapter import NOTHING, Row, StoreVersion
+from fordhatch.adapter import BEFORE_ALL_VERSIONS, Row, StoreVersion
 
 from ._table_source import TableUpdate
 
@@ -24,15 +24,15 @@
     """
 
     rows: dict[str, Row] = attrs.field(factory=dict)
-    version: StoreVersion = NOTHING
+    version: StoreVersion = BEFORE_ALL_VERSIONS
     """The copy includes all changes up to this version."""
     _history: list[Row] = attrs.field(factory=list)
     """At least the latest ``HISTORY_ROWS`` changes, and at most twice as many."""
     _versions: list[StoreVersion] = attrs.field(factory=list)
     """Versions of the changes in the history, in non-decreasing order."""
-    _first_version: StoreVersion = NOTHING
+    _first_version: StoreVersion = BEFORE_ALL_VERSIONS
     """The history no longer includes changes up to this version."""
-    generation_start: StoreVersion = NOTHING
+    generation_start: StoreVersion = BEFORE_ALL_VERSIONS
     """First version of the current generation that the copy received. Earlier changes
     of this generation are in the history only as differences from the previous copy."""
     _last_versions: dict[int, StoreVersion] = attrs.field(factory=dict)
@@ -55,7 +55,7 @@
         The store was restored from a backup in between.
         """
         is_later = update.version.generation > self.version.generation
-        return self.version != NOTHING and is_later
+        return self.version != BEFORE_ALL_VERSIONS and is_later
 
     def removals(self) -> dict[str, Row]:
         """Return the removed rows by key, as far as the history reaches back."""
@@ -64,7 +64,7 @@
 
     def apply(self, update: TableUpdate) -> None:
         """Apply an update from a source and notify the subscribers of changes."""
-        is_first = self.version == NOTHING
+        is_first = self.version == BEFORE_ALL_VERSIONS
         if self.is_restore(update):
             self._last_versions[self.version.generation] = self.version
             self.generation_start = update.version
--- a/packages/registry/src/fordhatch/registry/_table_follower.py
+++ b/packages/registry/src/fordhatch/registry/_table_follower.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from fordhatch.adapter import NOTHING, StoreVersion
+from fordhatch.adapter import BEFORE_ALL_VERSIONS, StoreVersion
 from fordhatch.core import Failure, ResultCode, Timer, log_event, metrics
 
 from ._table_copy import TableCopy
@@ -76,7 +76,7 @@
     @property
     def is_loaded(self) -> bool:
         """Whether the table has been read at least once."""
-        return self.copy.version != NOTHING
+        return self.copy.version != BEFORE_ALL_VERSIONS
 
     @property
     def is_failing(self) -> bool:
@@ -130,14 +130,14 @@
             Whether the store answered with an update no older than the copy.
         """
         sent_s = self.timer.now_s()
-        after = NOTHING if self._needs_full_read else self.copy.version
+        after = BEFORE_ALL_VERSIONS if self._needs_full_read else self.copy.version
         got = await self.source.update(self.table, after, wait_s)
         if got.is_err() and got.err().code is ResultCode.STORE_HISTORY_GONE:
             log_event("store_history_gone", table=self.table, after=str(after))
             sent_s = self.timer.now_s()
             self._missing_histories += 1
             self._needs_full_read = True
-            got = await self.source.update(self.table, NOTHING, 0.0)
+            got = await self.source.update(self.table, BEFORE_ALL_VERSIONS, 0.0)
         else:
             self._missing_histories = 0
         if got.is_err():
--- a/packages/registry/src/fordhatch/registry/_table_source.py
+++ b/packages/registry/src/fordhatch/registry/_table_source.py
@@ -8,7 +8,7 @@
 import attrs
 from result import Err, Ok, Result
 
-from fordhatch.adapter import NOTHING, Row, StoreClient, StoreVersion
+from fordhatch.adapter import BEFORE_ALL_VERSIONS, Row, StoreClient, StoreVersion
 from fordhatch.core import Failure, ResultCode
 
 READ_TIMEOUT_S = 1.5
@@ -53,8 +53,8 @@
 
         Args:
             table: Name of the table.
-            after_version: Version of the follower's copy; ``NOTHING`` requests every
-                row.
+            after_version: Version of the follower's copy; ``BEFORE_ALL_VERSIONS``
+                requests every row.
             wait_s: Maximum time the source may wait for a change, in seconds.
         """
         ...
@@ -70,7 +70,7 @@
         self, table: str, after_version: StoreVersion, wait_s: float
     ) -> Result[TableUpdate, Failure]:
         """See ``TableSource.update``."""
-        if after_version == NOTHING:
+        if after_version == BEFORE_ALL_VERSIONS:
             return await self._read(table)
         changed = await self.store.watch(
             table, after_version, wait_s=wait_s, timeout_s=wait_s + WATCH_TOLERANCE_S
--- a/packages/registry/src/fordhatch/registry/_table_sync.py
+++ b/packages/registry/src/fordhatch/registry/_table_sync.py
@@ -147,7 +147,7 @@
         async def follow() -> None:
             await follower.follow(max_retry_s, probe)
 
-        supervised = self.timer.keep(follow, name=follower.table)
+        supervised = self.timer.supervise(follow, name=follower.table)
         tasks.spawn(supervised, f"follow-{follower.table}")
 
     def _probe_slowdown(self) -> float:
--- a/packages/registry/tests/test_backend_directory.py
+++ b/packages/registry/tests/test_backend_directory.py
@@ -114,7 +114,9 @@
 
 def test_a_later_start_under_the_same_id_is_another_backend_server(table) -> None:
     ended: list[tuple[BackendServer, bool]] = []
-    table.directory.subscribe_ends(lambda b, restarted: ended.append((b, restarted)))
+    table.directory.subscribe_removals(
+        lambda b, restarted: ended.append((b, restarted))
+    )
     table.put("i-1", entry(rank=1, born_ms=BORN_MS))
     (before,) = table.directory.backends.values()
     table.put("i-1", entry(born_ms=BORN_MS + 1))
@@ -229,7 +231,7 @@
         claimed = {b.membership.rank for b in members if b.membership.key == key}
         assert set(group.members) == claimed
         assert all(m in backends for m in group.members.values())
-    heads = {b.backend_id for b in backends if b.takes_streams}
+    heads = {b.backend_id for b in backends if b.accepts_streams}
     found = {h.backend_id for h in directory.index.open_heads(SERVICE, "m")}
     assert found == heads
     assert len(directory.of_service(SERVICE)) == len(backends)
--- a/packages/registry/tests/test_departures.py
+++ b/packages/registry/tests/test_departures.py
@@ -41,9 +41,9 @@
     found, _ = directory()
     states = []
     found.subscribe(lambda: states.append(found.backends["i-1"].state))
-    assert found.note_leaving("i-1")
-    assert not found.note_leaving("i-1")
-    assert not found.note_leaving("i-2")
+    assert found.record_departure("i-1")
+    assert not found.record_departure("i-1")
+    assert not found.record_departure("i-2")
     assert states == [BackendState.DRAINING]
     found.observe_changes([row(2, slots=9)])
     assert found.plain("app") == []
@@ -55,17 +55,17 @@
     clock = ManualClock()
     found = BackendDirectory(clock)
     found.observe_snapshot([row(1, born=5)])
-    found.note_leaving("i-1@5")
+    found.record_departure("i-1@5")
     found.observe_changes([row(2, born=6)])
     assert [b.backend_id for b in found.plain("app")] == ["i-1@6"]
 
 
 def test_the_entry_counts_again_after_the_departure_expires() -> None:
     found, clock = directory()
-    found.note_leaving("i-1")
+    found.record_departure("i-1")
     clock.at_s = DEPARTURE_RETENTION_S - 1.0
-    found.forget_departures()
+    found.expire_departures()
     assert found.plain("app") == []
     clock.at_s = DEPARTURE_RETENTION_S + 1.0
-    found.forget_departures()
+    found.expire_departures()
     assert [b.backend_id for b in found.plain("app")] == ["i-1"]
--- a/packages/registry/tests/test_relay.py
+++ b/packages/registry/tests/test_relay.py
@@ -9,7 +9,7 @@
 import pytest_asyncio
 from result import Result
 
-from fordhatch.adapter import BACKENDS_TABLE, NOTHING, OPERATOR_TABLE
+from fordhatch.adapter import BACKENDS_TABLE, BEFORE_ALL_VERSIONS, OPERATOR_TABLE
 from fordhatch.core import Failure, Timer
 from fordhatch.protocol import PeerPool
 from fordhatch.registry import (
@@ -174,7 +174,7 @@
     async def update(
         self, table: str, after_version: int, wait_s: float
     ) -> Result[TableUpdate, Failure]:
-        if after_version == NOTHING and table == OPERATOR_TABLE:
+        if after_version == BEFORE_ALL_VERSIONS and table == OPERATOR_TABLE:
             self.full_reads += 1
             await asyncio.sleep(2.0 * CHOICE_INTERVAL_S)
         return await self.source.update(table, after_version, wait_s)
--- a/packages/registry/tests/test_store_view.py
+++ b/packages/registry/tests/test_store_view.py
@@ -10,8 +10,8 @@
 
 from fordhatch.adapter import (
     BACKENDS_TABLE,
+    BEFORE_ALL_VERSIONS,
     CONFIGURATION_KEY,
-    NOTHING,
     OPERATOR_TABLE,
     Row,
     RowKey,
@@ -269,7 +269,7 @@
     ) -> Result[TableUpdate, Failure]:
         self.calls += 1
         await asyncio.sleep(0.004)
-        if after_version != NOTHING:
+        if after_version != BEFORE_ALL_VERSIONS:
             return Err(Failure.from_code(ResultCode.STORE_HISTORY_GONE))
         return Ok(TableUpdate([], at(5), is_whole=True))
 
--- a/packages/registry/tests/test_table_copy.py
+++ b/packages/registry/tests/test_table_copy.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordhatch.adapter import NOTHING, Row, RowKey, StoreVersion
+from fordhatch.adapter import BEFORE_ALL_VERSIONS, Row, RowKey, StoreVersion
 from fordhatch.registry import TableCopy, TableUpdate
 
 
@@ -49,7 +49,7 @@
     copy = TableCopy()
     copy.apply(complete(5, row("a", 3)))
     assert copy.after(at(4)).is_whole
-    assert copy.after(NOTHING).is_whole
+    assert copy.after(BEFORE_ALL_VERSIONS).is_whole
 
 
 def test_only_the_latest_change_of_a_row_is_relayed() -> None:
@@ -74,7 +74,7 @@
 def test_a_follower_of_the_changes_equals_the_copy(steps, asked) -> None:
     copy, follower = TableCopy(), TableCopy()
     copy.apply(complete(1, row("a", 1)))
-    follower.apply(copy.after(NOTHING))
+    follower.apply(copy.after(BEFORE_ALL_VERSIONS))
     for version, (key, is_removed) in enumerate(steps, start=2):
         change = Row(RowKey("t", key), at(version), b"%d" % version, is_removed)
         copy.apply(TableUpdate([change], at(version), is_whole=False))
--- a/packages/serving/src/fordhatch/serving/_backpressure.py
+++ b/packages/serving/src/fordhatch/serving/_backpressure.py
@@ -13,7 +13,7 @@
 
 from fordhatch.catalog import BackendServer, Backpressure, PressureKind
 from fordhatch.core import Timer, log_event, metrics
-from fordhatch.protocol.messages import MOST_LIMIT_PER_S
+from fordhatch.protocol.messages import MAX_LIMIT_PER_S
 from fordhatch.registry import BackendDirectory
 
 MIN_LIMIT_CHANGE = 0.1
@@ -119,12 +119,12 @@
 
     def _update_limit(self, backend_id: str, limit_per_s: float | None) -> None:
         if limit_per_s is not None:
-            limit_per_s = min(limit_per_s, MOST_LIMIT_PER_S)
+            limit_per_s = min(limit_per_s, MAX_LIMIT_PER_S)
         self.apply_limit(ServerLimit(backend_id, limit_per_s, self.timer.now_s()))
 
     def record_departure(self, backend_id: str) -> None:
         """Record that a backend server is leaving."""
-        if not self.directory.note_leaving(backend_id):
+        if not self.directory.record_departure(backend_id):
             return
         log_event("backend_said_leaving", backend=backend_id)
         for callback in self._leaving_subscribers:
--- a/packages/serving/src/fordhatch/serving/_crash_watch.py
+++ b/packages/serving/src/fordhatch/serving/_crash_watch.py
@@ -168,7 +168,7 @@
             return answer.unwrap_err().code is ResultCode.BACKEND_REFUSED
         # Plain services need not report an identity; any answer shows a live process.
         is_engine = backend.membership is not None
-        return is_engine and not answer.unwrap().is_of(backend)
+        return is_engine and not answer.unwrap().matches(backend)
 
     def _log_crash(self, check: _Check) -> None:
         place = check.backend.membership
--- a/packages/serving/src/fordhatch/serving/_stall_watch.py
+++ b/packages/serving/src/fordhatch/serving/_stall_watch.py
@@ -169,7 +169,7 @@
         answers = await asyncio.gather(*(probe(self.backends, m) for m in members))
         return {
             m.backend_id: answer.unwrap().pace
-            if answer.is_ok() and answer.unwrap().is_of(m)
+            if answer.is_ok() and answer.unwrap().matches(m)
             else None
             for m, answer in zip(members, answers, strict=True)
         }
--- a/standins/src/fordhatch_standins/_memory_clients.py
+++ b/standins/src/fordhatch_standins/_memory_clients.py
@@ -19,7 +19,7 @@
     RowPage,
     StoreVersion,
     WriteResult,
-    why_outdated,
+    outdated_failure,
 )
 from fordhatch.core import Failure, Ran, ResultCode
 
@@ -134,7 +134,7 @@
     ) -> Result[WriteResult, Failure]:
         """Change rows together or not at all."""
         tables = {row.table for row in (*puts, *removes)}
-        outdated = why_outdated(expected, self.generation)
+        outdated = outdated_failure(expected, self.generation)
         if outdated is not None:
             return Err(outdated)
         self._count(f"write {','.join(sorted(tables))}")
@@ -180,7 +180,7 @@
             await asyncio.sleep(timeout_s)
             return Err(Failure.from_code(ResultCode.BACKEND_LOST, ran=Ran.NO))
         if engine.backend_id != registered_id:
-            return Ok(OrderReply(421, is_begun=False, is_done=False))
+            return Ok(OrderReply(421, is_started=False, is_done=False))
         status = self.fleet.order(engine, order)
         if status is None:
             await asyncio.sleep(timeout_s)
--- a/tests/adapter/test_backend_reports.py
+++ b/tests/adapter/test_backend_reports.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known_ms", "reported_ms", "is_of"),
+    ("known_ms", "reported_ms", "matches"),
     [
         (BORN_MS, BORN_MS, True),
         (BORN_MS, BORN_MS + 1, False),
@@ -34,14 +34,14 @@
     ],
 )
 def test_a_report_of_another_start_is_no_sign_of_life(
-    known_ms: int, reported_ms: int, is_of: bool
+    known_ms: int, reported_ms: int, matches: bool
 ) -> None:
     report = BackendReport(is_expected=True, born_ms=reported_ms)
-    assert report.is_of(backend_born_at(known_ms)) is is_of
+    assert report.matches(backend_born_at(known_ms)) is matches
 
 
 def test_a_report_of_another_id_is_no_sign_of_life() -> None:
-    assert not BackendReport(is_expected=False, born_ms=BORN_MS).is_of(
+    assert not BackendReport(is_expected=False, born_ms=BORN_MS).matches(
         backend_born_at(BORN_MS)
     )
 
@@ -63,7 +63,7 @@
 )
 def test_a_malformed_report_is_a_sign_of_life_only(body: bytes) -> None:
     found = _decode_report(body, is_expected=True)
-    assert found.is_of(backend_born_at(BORN_MS))
+    assert found.matches(backend_born_at(BORN_MS))
     assert 0.0 < found.pace < 10.0
     assert found.born_ms == 0
 
--- a/tests/adapter/test_store_versions.py
+++ b/tests/adapter/test_store_versions.py
@@ -12,8 +12,8 @@
 
 from fordhatch.adapter import (
     ABSENT,
+    BEFORE_ALL_VERSIONS,
     GENERATION_HEADER,
-    NOTHING,
     Row,
     RowKey,
     StoreClient,
@@ -72,7 +72,7 @@
 
 
 def test_versions_are_ordered_by_generation_before_number() -> None:
-    assert NOTHING < ABSENT < StoreVersion(0, 900) < StoreVersion(1, 3)
+    assert BEFORE_ALL_VERSIONS < ABSENT < StoreVersion(0, 900) < StoreVersion(1, 3)
 
 
 async def test_every_answer_has_the_generation(store) -> None:
