--- a/standins/src/fordhatch_standins/__init__.py
+++ b/standins/src/fordhatch_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform: its store and backend servers, in memory or over HTTP."""
+"""Emulate the platform's store and backend servers, in memory or over HTTP."""
 
 from __future__ import annotations
 
--- a/standins/src/fordhatch_standins/_backend_http.py
+++ b/standins/src/fordhatch_standins/_backend_http.py
@@ -1,4 +1,4 @@
-"""Backend servers on their published wire: orders, reports, requests."""
+"""HTTP interface of the backend servers: orders, reports and requests."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
 ORDER_PATH = "/v1/order"
 
 HEARTBEAT_S = 1.2
-"""Within this time all engines have registered again after the store's return."""
+"""Time within which all engines register again once the store is available."""
+
 REPORT_PATH = "/v1/report"
 HEALTH_PATH = "/health"
 
-ANY_NODE = "any"
-"""Requests don't tell which node sends them."""
+UNKNOWN_NODE = "any"
+"""Name of the node for all requests, which do not identify their sender."""
 
-_OK, _BAD, _OTHER, _FULL = 200, 400, 421, 503
-_USUAL_URGENCY = 5
+_OK, _BAD_REQUEST, _MISDIRECTED, _UNAVAILABLE = 200, 400, 421, 503
+_DEFAULT_URGENCY = 5
 
 
 @attrs.define(eq=False, repr=False)
 class BackendListeners:
-    """A port for each backend server, all in this process."""
+    """Listens on one port for each backend server, all in this process."""
 
     backends: Backends
     host: str
@@ -43,18 +44,18 @@
     _connections: dict[str, set[asyncio.BaseTransport]] = attrs.field(factory=dict)
 
     async def listen(self, port: int) -> str:
-        """Open a port; returns its address, at which a backend server may be added."""
+        """Open a port and return its address, where a backend server can be added."""
         address = f"{self.host}:{port}"
-        open_now: set[asyncio.BaseTransport] = set()
-        self._connections[address] = open_now
+        open_transports: set[asyncio.BaseTransport] = set()
+        self._connections[address] = open_transports
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             transport = request.transport
-            open_now.add(transport)
+            open_transports.add(transport)
             try:
-                return await self._answer(address, request)
+                return await self._respond(address, request)
             finally:
-                open_now.discard(transport)
+                open_transports.discard(transport)
 
         server = web.Server(handle, handler_cancellation=True, access_log=None)
         loop = asyncio.get_running_loop()
@@ -62,12 +63,12 @@
         return address
 
     def cut_off(self, address: str) -> None:
-        """Close the port and break every connection, as a crash does."""
+        """Close the port and abort every connection, as a crash does."""
         self._listeners.pop(address).close()
         for transport in list(self._connections[address]):
             transport.abort()
 
-    async def _answer(
+    async def _respond(
         self, address: str, request: web.BaseRequest
     ) -> web.StreamResponse:
         plain = self.backends.plain.get(address)
@@ -75,21 +76,21 @@
         if plain is None and work is None:
             request.transport.abort()
             return web.Response()
-        wanted = request.headers.get("X-Expect-Instance", "")
-        own = plain.backend_id if plain is not None else work.engine.backend_id
-        if wanted and wanted != own:
-            answers = _Answers(request, self.backends.pressure, own)
-            return answers.refusal(_OTHER, own)
+        expected_id = request.headers.get("X-Expect-Instance", "")
+        own_id = plain.backend_id if plain is not None else work.engine.backend_id
+        if expected_id and expected_id != own_id:
+            answers = _ResponseBuilder(request, self.backends.pressure, own_id)
+            return answers.refusal(_MISDIRECTED, own_id)
         if request.path == REPORT_PATH:
             return web.json_response({"busy": False, "seq": 1})
         if request.path == HEALTH_PATH:
-            return web.Response(headers={"X-Runner-Id": own})
+            return web.Response(headers={"X-Runner-Id": own_id})
         if request.path == ORDER_PATH:
             return self._order(work, await request.json())
-        call = _call(request, own, await request.read())
-        answers = _Answers(request, self.backends.pressure, own)
-        if self.backends.pressure.arrived(own, ANY_NODE):
-            return answers.refusal(_FULL, "")
+        call = _build_call(request, own_id, await request.read())
+        answers = _ResponseBuilder(request, self.backends.pressure, own_id)
+        if self.backends.pressure.arrived(own_id, UNKNOWN_NODE):
+            return answers.refusal(_UNAVAILABLE, "")
         if plain is not None:
             return await _serve_plain(plain, call, answers)
         return await _serve_stream(work, call, answers)
@@ -98,11 +99,11 @@
         try:
             order = _decode_order(body)
         except (KeyError, ValueError):
-            return web.Response(status=_BAD)
+            return web.Response(status=_BAD_REQUEST)
         if work is None:
-            return web.Response(status=_BAD)
+            return web.Response(status=_BAD_REQUEST)
         status = self.backends.fleet.order(work.engine, order)
-        return web.Response(status=status or _FULL)
+        return web.Response(status=status or _UNAVAILABLE)
 
 
 def _decode_order(body: dict[str, Any]) -> GroupOrder:
@@ -116,7 +117,7 @@
     )
 
 
-def _call(request: web.BaseRequest, backend_id: str, body: bytes) -> BackendCall:
+def _build_call(request: web.BaseRequest, backend_id: str, body: bytes) -> BackendCall:
     fields = caller_fields(request.headers)
     last = fields.last_event_id
     return BackendCall(
@@ -129,44 +130,46 @@
         model=fields.model,
         prompt_tokens=fields.prompt_tokens,
         output_tokens=fields.max_output_tokens,
-        urgency=int(request.headers.get("X-Urgency-Class", _USUAL_URGENCY)),
+        urgency=int(request.headers.get("X-Urgency-Class", _DEFAULT_URGENCY)),
         last_event=int(last) if last.isdigit() else -1,
     )
 
 
 @attrs.frozen
-class _Answers:
-    """Builds the answers to one request."""
+class _ResponseBuilder:
+    """Builds the HTTP responses to one request."""
 
     request: web.BaseRequest
     pressure: PressureLog
     backend_id: str
 
     def headers(self, *, refused: bool = False) -> dict[str, str]:
-        """Return the headers of an answer that goes out now."""
-        said = self.pressure.answered(self.backend_id, ANY_NODE, refused=refused)
+        """Return the headers of a response that is sent now."""
+        backpressure = self.pressure.answered(
+            self.backend_id, UNKNOWN_NODE, refused=refused
+        )
         headers = {"X-Attempt-Id": self.request.headers.get("X-Attempt-Id", "")}
-        if said.rest_s is not None:
-            headers["Retry-After"] = f"{said.rest_s:g}"
-        if said.limit_per_s is not None:
-            headers["Server-Limit"] = f"{said.limit_per_s:g}"
-        if said.is_leaving:
+        if backpressure.rest_s is not None:
+            headers["Retry-After"] = f"{backpressure.rest_s:g}"
+        if backpressure.limit_per_s is not None:
+            headers["Server-Limit"] = f"{backpressure.limit_per_s:g}"
+        if backpressure.is_leaving:
             headers["Server-Leaving"] = "1"
         return headers
 
     def refusal(self, status: int, at_fault: str) -> web.Response:
-        """Return an answer that says that the request has not run."""
+        """Return a response that reports that the request has not run."""
         headers = self.headers(refused=True)
         headers |= {"X-Not-Executed": "1", "At-Server": at_fault}
         return web.Response(status=status, headers=headers)
 
     def signed(self) -> dict[str, str]:
-        """Return the headers of the server's own answer."""
+        """Return the headers of a response by the backend server itself."""
         return {**self.headers(), "X-Server-Seal": SIGNATURE}
 
 
 async def _serve_plain(
-    server: PlainService, call: BackendCall, answers: _Answers
+    server: PlainService, call: BackendCall, answers: _ResponseBuilder
 ) -> web.StreamResponse:
     try:
         body = await server.serve(call)
@@ -184,14 +187,14 @@
 
 
 async def _serve_stream(
-    work: EngineWork, call: BackendCall, answers: _Answers
+    work: EngineWork, call: BackendCall, answers: _ResponseBuilder
 ) -> web.StreamResponse:
     response = web.StreamResponse(
         headers={**answers.signed(), "Content-Type": "text/event-stream"}
     )
     response.enable_chunked_encoding()
     try:
-        await _pass_on(work.serve(call), response, answers.request)
+        await _forward_events(work.serve(call), response, answers.request)
     except NotExecuted as refusal:
         return answers.refusal(refusal.status, refusal.at_fault)
     except CutOff:
@@ -199,7 +202,7 @@
     return response
 
 
-async def _pass_on(
+async def _forward_events(
     events: AsyncIterator[bytes],
     response: web.StreamResponse,
     request: web.BaseRequest,
@@ -212,7 +215,7 @@
 
 
 def control_handler(backends: Backends, listeners: BackendListeners) -> Any:
-    """Return what lets a test bring about faults and read back what ran.
+    """Return a handler that lets a test inject faults and read the run counts.
 
     ``GET /counts``; ``POST /act`` with ``do`` (``kill``, ``drain``, ``add``,
     ``slow``, ``limit``, ``rest``, ``fail_store``, ``heal_store``) and its fields.
@@ -260,7 +263,7 @@
     faults.is_silent = is_failing and body.get("how") == "silent"
 
 
-def _ask_for_less(pressure: PressureLog, body: dict[str, Any]) -> None:
+def _act_on_pressure(pressure: PressureLog, body: dict[str, Any]) -> None:
     match body["do"]:
         case "limit":
             pressure.limit(body["backend"], body["per_s"])
@@ -282,7 +285,7 @@
             backends.pressure.leave(engine.backend_id)
             backends.fleet.drain(engine)
         case "limit" | "rest" | "excuse":
-            _ask_for_less(backends.pressure, body)
+            _act_on_pressure(backends.pressure, body)
         case "slow":
             engine.slow_factor = float(body["factor"])
         case "add":
--- a/standins/src/fordhatch_standins/_backends.py
+++ b/standins/src/fordhatch_standins/_backends.py
@@ -1,4 +1,4 @@
-"""Every backend server of a site: engines and plain services, by address."""
+"""Backend servers of a site: engines and plain services, by address."""
 
 from __future__ import annotations
 
@@ -18,16 +18,15 @@
 from ._store_model import StoreCopy, StoreModel
 
 FIRST_PLAIN_PORT = 8000
-"""Plain services in memory differ by their ports."""
-
+"""Base of the ports that distinguish plain services in memory."""
 
 COPIES = 4
-"""Copies of the store that are kept, one a second."""
+"""Number of copies of the store that are kept; one is made each second."""
 
 
 @attrs.define(eq=False, repr=False)
 class Backends:
-    """Looks backend servers up, and starts them."""
+    """Starts backend servers and finds them by address."""
 
     store: StoreModel
     fleet: EngineFleet
@@ -38,65 +37,65 @@
     plain_runs: Counter[str] = attrs.field(factory=Counter)
     plain_contents: Counter[str] = attrs.field(factory=Counter)
     ends_under: Callable[[BackendCall], bool] = lambda call: False
-    """Which requests end the engines that begin to run them."""
-    crashed_s: list[float] = attrs.field(factory=list)
-    """When engines have ended under such requests."""
-    comes_back_s: float = 3.0
-    """After this time another engine starts at the address of one that has ended."""
+    """Whether a request crashes the engine that begins to run it."""
+    crash_times_s: list[float] = attrs.field(factory=list)
+    """Times of the crashes that such requests have caused."""
+    restart_delay_s: float = 3.0
+    """Time from a crash until another engine starts at the same address."""
     pressure: PressureLog = attrs.field(factory=PressureLog)
-    """What they ask for in their answers."""
+    """Limits, back-offs and departures that the backend servers report in answers."""
     copies: deque[StoreCopy] = attrs.field(factory=lambda: deque(maxlen=COPIES))
-    """Of the store, the oldest first; it may come back from that."""
-    _works: dict[str, EngineWork] = attrs.field(factory=dict)
-    _made: int = 0
+    """Copies of the store, the oldest first, from which it may be restored."""
+    _work_by_id: dict[str, EngineWork] = attrs.field(factory=dict)
+    _plain_count: int = 0
 
     def add_engine(self, domain: str, zone: str, address: str = "") -> EngineModel:
         """Start an empty engine."""
         engine = self.fleet.add(domain, zone, address)
-        self._work_of(engine)
+        self._add_work(engine)
         return engine
 
-    def _work_of(self, engine: EngineModel) -> None:
-        self._works[engine.backend_id] = EngineWork(
+    def _add_work(self, engine: EngineModel) -> None:
+        self._work_by_id[engine.backend_id] = EngineWork(
             engine,
             self.fleet,
             self.pace,
-            self._ends_under,
+            self._crashes_on,
             self._crash,
         )
 
-    def _ends_under(self, call: BackendCall) -> bool:
+    def _crashes_on(self, call: BackendCall) -> bool:
         return self.ends_under(call)
 
     def _crash(self, engine: EngineModel) -> None:
-        """End an engine's process; the next one finds the weights on its host."""
+        """Crash an engine's process; its successor finds the weights on its host."""
         if engine.is_dead:
             return
         loop = asyncio.get_running_loop()
-        self.crashed_s.append(loop.time())
+        self.crash_times_s.append(loop.time())
         self.fleet.crash(engine)
-        loop.call_later(self.comes_back_s, self._come_back, engine)
+        loop.call_later(self.restart_delay_s, self._restart_at_address, engine)
 
-    def _come_back(self, engine: EngineModel) -> None:
+    def _restart_at_address(self, engine: EngineModel) -> None:
         started = self.add_engine(engine.domain, engine.zone, engine.address)
         started.staged = list(engine.staged)
         started.on_change(started)
 
     def restart_engine(self, engine: EngineModel) -> EngineModel:
-        """Start an engine again under its id; what it was doing ends."""
+        """Restart an engine under its id; its running requests are cut off."""
         started = self.fleet.restart(engine)
-        self._work_of(started)
+        self._add_work(started)
         return started
 
     def add_plain(
         self, service: str, zone: str, address: str = "", **options: object
     ) -> PlainService:
         """Start a backend server of a plain service."""
-        self._made += 1
+        self._plain_count += 1
         server = PlainService(
-            f"p-{self._made:04d}",
+            f"p-{self._plain_count:04d}",
             service,
-            address or f"10.9.0.1:{FIRST_PLAIN_PORT + self._made}",
+            address or f"10.9.0.1:{FIRST_PLAIN_PORT + self._plain_count}",
             self.store,
             self.rng,
             self.plain_runs,
@@ -109,14 +108,14 @@
         return server
 
     def work_at(self, address: str) -> EngineWork | None:
-        """Return the work of the living engine at an address."""
+        """Return the request processing of the running engine at an address."""
         engine = self.fleet.at(address)
-        return self._works[engine.backend_id] if engine is not None else None
+        return self._work_by_id[engine.backend_id] if engine is not None else None
 
     def refuses(self, address: str) -> bool:
-        """Return whether an address refuses connections at once."""
+        """Return whether an address refuses connections immediately."""
         return address in self.fleet.refusing
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request has run anywhere."""
+        """Return the number of runs of a request over all backend servers."""
         return self.fleet.runs[request_id] + self.plain_runs[request_id]
--- a/standins/src/fordhatch_standins/_calls.py
+++ b/standins/src/fordhatch_standins/_calls.py
@@ -1,4 +1,4 @@
-"""Requests as they reach a backend server, and the ways in which they end."""
+"""Requests as received by a backend server, and their failures."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
     request_id: str
     backend_id: str
-    """The only backend server that may run it."""
+    """The only backend server that may run the request."""
     method: str
     target: str
     body: bytes
     left_s: float
-    """The backend server stops its work after this time."""
+    """Remaining time, after which the backend server stops its work."""
     model: str = ""
     prompt_tokens: int = 0
     output_tokens: int = 0
     urgency: int = 5
     last_event: int = -1
-    """A stream goes on after this event; -1 for a new one."""
+    """Index of the event after which a stream resumes; -1 for a new stream."""
 
     @property
     def digest(self) -> str:
-        """Names the content, whichever try of the caller brought it."""
+        """Digest of the content, equal for all attempts of the caller."""
         return hashlib.sha256(self.body).hexdigest()
 
 
 class NotExecuted(Exception):  # noqa: N818
-    """The backend server says that it has not run the request."""
+    """The backend server reports that it has not run the request."""
 
     def __init__(self, status: int, at_fault: str = "") -> None:
         super().__init__(f"status {status}")
@@ -44,11 +44,11 @@
 
 
 class CutOff(ConnectionError):  # noqa: N818
-    """The connection ends without a complete answer."""
+    """The connection closes before the answer is complete."""
 
 
 def answer_text(body: bytes, index: int) -> str:
-    """Return a piece of the one right answer to a request's body."""
+    """Return one part of the only correct answer to a request's body."""
     try:
         content = json.loads(body)["messages"][-1]["content"]
     except (ValueError, KeyError, TypeError, IndexError):
@@ -58,14 +58,14 @@
 
 
 def event_bytes(body: bytes, index: int) -> bytes:
-    """Return one event of the one right answer to a request's body."""
+    """Return one event of the only correct answer to a request's body."""
     data = json.dumps({"text": answer_text(body, index)})
     return f"id: {index}\ndata: {data}\n\n".encode()
 
 
 @attrs.define(eq=False, repr=False)
-class Waiting:
-    """Requests that wait for a slot, the most urgent and then the oldest first."""
+class SlotQueue:
+    """Queue for slots, ordered by urgency (lowest class first) and then by age."""
 
     _waiters: list[tuple[int, int, asyncio.Future[None]]] = attrs.field(factory=list)
     _count: int = 0
@@ -74,7 +74,7 @@
         return len(self._waiters)
 
     async def wait(self, urgency: int) -> None:
-        """Wait until it is this request's turn."""
+        """Wait until a slot is available for this request."""
         self._count += 1
         turn = asyncio.get_running_loop().create_future()
         entry = (urgency, self._count, turn)
@@ -86,7 +86,7 @@
                 self._waiters.remove(entry)
 
     def wake_first(self) -> None:
-        """Let the first one go on."""
+        """Wake the first request."""
         if not self._waiters:
             return
         first = min(self._waiters, key=lambda w: w[:2])
@@ -95,6 +95,6 @@
             first[2].set_result(None)
 
     def wake_all(self) -> None:
-        """Let all go on, to find that nothing serves any more."""
+        """Wake all requests, which then fail because nothing serves any more."""
         while self._waiters:
             self.wake_first()
--- a/standins/src/fordhatch_standins/_engine_model.py
+++ b/standins/src/fordhatch_standins/_engine_model.py
@@ -1,4 +1,4 @@
-"""One model engine that takes a place in groups, in memory."""
+"""Model engine that joins groups, in memory."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from ._entries import entry_fields
 
 REJOIN_S = 0.2
-BEGUN, DONE, UNFIT, TOO_OLD = 202, 200, 409, 412
+BEGUN, DONE, CONFLICT, OUTDATED = 202, 200, 409, 412
 
 
 @attrs.frozen
 class ModelTimes:
-    """A model as the engines know it."""
+    """Group size and load times of a model, as seen by the engines."""
 
     size: int
     load_s: float
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Place:
-    """A place in a group."""
+    """Membership of an engine in a group."""
 
     group: str
     epoch: int
@@ -39,7 +39,7 @@
 
 @attrs.define(eq=False, repr=False)
 class EngineModel:
-    """An engine: its place, what is staged on its host, and its orders."""
+    """An engine: its place, the models staged on its host, and order handling."""
 
     backend_id: str
     address: str
@@ -58,26 +58,26 @@
     highest_epoch: int = 0
     is_dead: bool = False
     is_listed: bool = True
-    """Whether the store hears of it."""
+    """Whether the engine publishes its entry in the store."""
     ready_as: set[tuple[str, int, tuple[str, ...]]] = attrs.field(factory=set)
-    """Every group, epoch and list under which it has been ready."""
+    """Every group, epoch and member list in which the engine has been ready."""
     loading_until_s: float = 0.0
-    """End of the load of weights that is under way, if any."""
+    """End of the latest load of weights, on the event loop's clock."""
     slow_factor: float = 1.0
-    """How many times slower than usual it works."""
-    is_still: bool = False
-    """As a head: a member is missing, and nothing moves."""
+    """Factor by which the engine is slower than normal."""
+    is_stalled: bool = False
+    """Whether the engine, as a head, makes no progress because a member is missing."""
     checks_fencing: bool = False
-    """Whether orders with a lower fencing token than one seen before are refused."""
+    """Whether orders with a fencing token below the highest one seen are refused."""
     highest_token: int = 0
     born_ms: int = 0
-    """Unix milliseconds of its start; 0 where it does not tell."""
+    """Start time in Unix milliseconds; 0 if the engine does not report it."""
     ready_before: set[tuple[str, int, tuple[str, ...]]] = attrs.field(factory=set)
-    """The same for earlier starts under its id."""
-    _moved: asyncio.Event = attrs.field(factory=asyncio.Event)
+    """Values of ``ready_as`` from earlier starts under the same id."""
+    _changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def entry(self) -> bytes:
-        """Return its entry in the store."""
+        """Return the engine's entry for the store."""
         data = entry_fields(
             self.service,
             self.address,
@@ -100,9 +100,9 @@
         return json.dumps(data).encode()
 
     def take(self, order: GroupOrder) -> int:
-        """Carry out an order; returns the status of the answer."""
+        """Execute an order and return the status of the answer."""
         if self.checks_fencing and order.fencing_token < self.highest_token:
-            return TOO_OLD
+            return OUTDATED
         self.highest_token = max(self.highest_token, order.fencing_token)
         match order.kind:
             case OrderKind.JOIN:
@@ -110,7 +110,7 @@
             case OrderKind.STAGE:
                 return self._stage(order.model)
             case _:
-                return self._of_group(order)
+                return self._apply_to_group(order)
 
     def _join(self, order: GroupOrder) -> int:
         place = self.place
@@ -119,14 +119,14 @@
             if same and place.members == order.members:
                 return DONE
             if same:
-                return TOO_OLD
+                return OUTDATED
         if order.epoch < self.highest_epoch:
-            return TOO_OLD
+            return OUTDATED
         self.highest_epoch = order.epoch
         rank = order.members.index(self.backend_id)
-        self.note_move()
+        self.wake_waiters()
         self.place = Place(order.group, order.epoch, rank, order.model, order.members)
-        self._later(self._join_time_s(order.model), self._joined, self.place)
+        self._schedule(self._join_time_s(order.model), self._finish_join, self.place)
         self.on_change(self)
         return BEGUN
 
@@ -143,19 +143,19 @@
         self.loading_until_s = now_s + self.models[model].load_s
         self.on_load(self)
 
-    def _later(self, delay_s: float, call: Callable, *args: object) -> None:
+    def _schedule(self, delay_s: float, call: Callable, *args: object) -> None:
         asyncio.get_running_loop().call_later(delay_s, call, *args)
 
-    def _joined(self, place: Place) -> None:
+    def _finish_join(self, place: Place) -> None:
         if self.place is not place or self.is_dead:
             return
         place.state = "ready"
         self.last_model = place.model
-        self._put_on_host(place.model)
+        self._add_staged(place.model)
         self.ready_as.add((place.group, place.epoch, place.members))
         self.on_change(self)
 
-    def _put_on_host(self, model: str) -> None:
+    def _add_staged(self, model: str) -> None:
         if model not in self.staged:
             self.staged.append(model)
             del self.staged[: -self.keeps]
@@ -164,65 +164,68 @@
         if model in self.staged:
             return DONE
         self._begin_load(model)
-        self._later(self.models[model].load_s, self._is_staged, model)
+        self._schedule(self.models[model].load_s, self._finish_stage, model)
         return BEGUN
 
-    def _is_staged(self, model: str) -> None:
+    def _finish_stage(self, model: str) -> None:
         if not self.is_dead:
-            self._put_on_host(model)
+            self._add_staged(model)
             self.on_change(self)
 
-    def _of_group(self, order: GroupOrder) -> int:
+    def _apply_to_group(self, order: GroupOrder) -> int:
         place = self.place
         if place is None or (place.group, place.epoch) != (order.group, order.epoch):
-            # Whoever has no place in a group has left it.
-            return DONE if order.kind is OrderKind.LEAVE else UNFIT
+            # An engine without a place in the group counts as having left it.
+            return DONE if order.kind is OrderKind.LEAVE else CONFLICT
         if order.kind is OrderKind.LEAVE:
             self.place = None
-            self.note_move()
+            self.wake_waiters()
         elif order.kind is OrderKind.CLOSE:
             place.state = "ready"
         elif place.state == "open":
             return DONE
         elif place.state != "ready" or place.rank != 0:
-            return UNFIT
+            return CONFLICT
         else:
-            self._later(self.form_s, self._opened, place)
+            self._schedule(self.form_s, self._finish_open, place)
             return BEGUN
         self.on_change(self)
         return DONE
 
-    def _opened(self, place: Place) -> None:
+    def _finish_open(self, place: Place) -> None:
         if self.place is place and not self.is_dead and place.state == "ready":
             place.state = "open"
-            self.is_still = False
+            self.is_stalled = False
             self.on_change(self)
 
     @property
     def serves(self) -> bool:
-        """Whether it takes requests now, as the head of an open group."""
+        """Whether the engine accepts requests, as the head of an open group."""
         place = self.place
         is_head = place is not None and place.rank == 0 and place.state == "open"
         return is_head and not self.is_dead
 
-    def stand_still(self, stall_s: float) -> None:
-        """Break, as a head does some time after it has lost a member."""
+    def stall(self, stall_s: float) -> None:
+        """Stop making progress; the group breaks after ``stall_s`` seconds.
+
+        A head does so when it has lost a member.
+        """
         place = self.place
         if place is not None and place.state == "open":
-            self.is_still = True
-            self._later(stall_s, self._broke, place)
+            self.is_stalled = True
+            self._schedule(stall_s, self._mark_broken, place)
 
-    def _broke(self, place: Place) -> None:
+    def _mark_broken(self, place: Place) -> None:
         if self.place is place and not self.is_dead and place.state == "open":
             place.state = "broken"
-            self.note_move()
+            self.wake_waiters()
             self.on_change(self)
 
-    def note_move(self) -> None:
-        """Wake whatever waits for this engine to go on, or to break."""
-        self._moved.set()
-        self._moved = asyncio.Event()
+    def wake_waiters(self) -> None:
+        """Wake all callers of ``wait_for_change``."""
+        self._changed.set()
+        self._changed = asyncio.Event()
 
-    async def until_moved(self) -> None:
-        """Wait until the engine goes on, breaks or ends."""
-        await self._moved.wait()
+    async def wait_for_change(self) -> None:
+        """Wait until the engine changes its place, breaks or terminates."""
+        await self._changed.wait()
--- a/standins/src/fordhatch_standins/_entries.py
+++ b/standins/src/fordhatch_standins/_entries.py
@@ -1,15 +1,21 @@
-"""Whole entries of backend servers, as the platform publishes them."""
+"""Complete entries of backend servers, as the platform publishes them."""
 
 from __future__ import annotations
 
 import json
 
 FIRST_START_MS = 1_760_000_000_000
-"""Unix milliseconds at the start of a stand-in's clock."""
+"""Base of the reported start times, in Unix milliseconds."""
 
 
 def entry_fields(service: str, address: str, **changes: object) -> dict[str, object]:
-    """Return the fields of an entry that is whole."""
+    """Return the fields of a complete entry.
+
+    Args:
+        service: Service of the backend server.
+        address: Its address, ``host:port``.
+        changes: Fields to change or add.
+    """
     return {
         "service": service,
         "address": address,
@@ -24,5 +30,5 @@
 
 
 def backend_entry(service: str, address: str, **changes: object) -> bytes:
-    """Return an entry that is whole, some of its fields changed or added."""
+    """Return a complete encoded entry, with some fields changed or added."""
     return json.dumps(entry_fields(service, address, **changes)).encode()
--- a/standins/src/fordhatch_standins/_memory_clients.py
+++ b/standins/src/fordhatch_standins/_memory_clients.py
@@ -1,4 +1,7 @@
-"""Clients of the stand-ins in memory, shaped like those of the wire."""
+"""In-memory clients of the store and backend servers.
+
+They have the interfaces of the clients that use HTTP.
+"""
 
 from __future__ import annotations
 
@@ -24,11 +27,11 @@
 from fordhatch.core import Failure, Ran, ResultCode
 
 from ._engine_fleet import EngineFleet
-from ._engine_model import BEGUN, DONE, TOO_OLD
+from ._engine_model import BEGUN, DONE, OUTDATED
 from ._store_model import StoredRow, StoreModel
 
-STORE_S = 0.004
-ORDER_S = 0.002
+STORE_LATENCY_S = 0.004
+BACKEND_LATENCY_S = 0.002
 
 
 def _row(row: StoredRow, generation: int) -> Row:
@@ -37,41 +40,41 @@
     return Row(RowKey(table, key, part), version, row.value, row.is_removed)
 
 
-def _name(row: RowKey) -> tuple[str, str, str]:
+def _row_name(row: RowKey) -> tuple[str, str, str]:
     return row.table, row.part, row.key
 
 
-def _unknown() -> Failure:
+def _outcome_unknown() -> Failure:
     return Failure.from_code(ResultCode.STORE_OUTCOME_UNKNOWN, ran=Ran.MAYBE)
 
 
 @attrs.define(eq=False, repr=False)
 class MemoryStoreClient:
-    """What ``StoreClient`` does, on a model."""
+    """``StoreClient`` on a store model in memory."""
 
     model: StoreModel
     node_name: str
     is_frozen: bool = False
-    """The node's process stands still: no call of it ends."""
+    """Whether the node's process is suspended, so that its calls time out."""
 
     calls: Counter[str] = attrs.field(factory=Counter)
     generation: int = 0
-    """The newest generation of the store that an answer has named."""
+    """The newest generation of the store that an answer has reported."""
 
     def _count(self, call: str) -> None:
         self.calls[call] += 1
         self.model.calls += 1
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is no connection to close."""
 
     def _version(self) -> StoreVersion:
-        """Return the version of the store as an answer tells it."""
+        """Return the store's version as reported in an answer."""
         self.generation = self.model.generation
         return StoreVersion(self.model.generation, self.model.version)
 
-    async def _reach(self, timeout_s: float) -> Failure | None:
-        await asyncio.sleep(STORE_S)
+    async def _simulate_access(self, timeout_s: float) -> Failure | None:
+        await asyncio.sleep(STORE_LATENCY_S)
         faults = self.model.faults
         if self.is_frozen or faults.is_silent:
             await asyncio.sleep(timeout_s)
@@ -89,9 +92,9 @@
         limit: int = 500,
         timeout_s: float,
     ) -> Result[RowPage, Failure]:
-        """Read rows of one part of a table."""
+        """Read rows of one part of a table, in order of their keys."""
         self._count(f"read {table}")
-        failure = await self._reach(timeout_s)
+        failure = await self._simulate_access(timeout_s)
         if failure is not None:
             return Err(failure)
         rows = self.model.page(table, first_key, limit + 1, part)
@@ -109,12 +112,12 @@
     ) -> Result[Changes, Failure]:
         """Wait for changes of a table."""
         self._count(f"watch {table}")
-        failure = await self._reach(timeout_s)
+        failure = await self._simulate_access(timeout_s)
         if failure is not None:
             return Err(failure)
         found = await self.model.changes(table, after_version.number, wait_s)
         version = self._version()
-        failure = await self._reach(timeout_s)
+        failure = await self._simulate_access(timeout_s)
         if failure is not None:
             return Err(failure)
         if found is None:
@@ -132,30 +135,30 @@
         *,
         timeout_s: float,
     ) -> Result[WriteResult, Failure]:
-        """Change rows together or not at all."""
+        """Change rows in one transaction."""
         tables = {row.table for row in (*puts, *removes)}
         outdated = why_outdated(expected, self.generation)
         if outdated is not None:
             return Err(outdated)
         self._count(f"write {','.join(sorted(tables))}")
-        failure = await self._reach(timeout_s)
+        failure = await self._simulate_access(timeout_s)
         if failure is not None:
             return Err(failure)
         transaction = (
-            {_name(k): v.number for k, v in expected.items()},
-            {_name(k): v for k, v in puts.items()},
-            tuple(map(_name, removes)),
+            {_row_name(k): v.number for k, v in expected.items()},
+            {_row_name(k): v for k, v in puts.items()},
+            tuple(map(_row_name, removes)),
         )
         if self.model.faults.late_writes > 0:
             self.model.faults.late_writes -= 1
             self.model.transact_later(*transaction)
             await asyncio.sleep(timeout_s)
-            return Err(_unknown())
+            return Err(_outcome_unknown())
         number, conflicts = self.model.transact(*transaction)
         version = self._version()
         if self.model.faults.lost_answers > 0:
             self.model.faults.lost_answers -= 1
-            return Err(_unknown())
+            return Err(_outcome_unknown())
         if number:
             return Ok(WriteResult(True, version))
         rows = tuple(_row(r, version.generation) for r in conflicts)
@@ -164,17 +167,17 @@
 
 @attrs.define(eq=False, repr=False)
 class MemoryBackendClient:
-    """What ``BackendClient`` does, on a fleet of engines."""
+    """``BackendClient`` on a fleet of engines in memory."""
 
     fleet: EngineFleet
     is_cut: bool = False
-    """This node reaches no backend server."""
+    """Whether this node reaches no backend server."""
 
     async def order(
         self, address: str, registered_id: str, order: GroupOrder, *, timeout_s: float
     ) -> Result[OrderReply, Failure]:
-        """Send an order."""
-        await asyncio.sleep(ORDER_S)
+        """Send an order to the engine at an address."""
+        await asyncio.sleep(BACKEND_LATENCY_S)
         engine = self.fleet.at(address)
         if self.is_cut or engine is None:
             await asyncio.sleep(timeout_s)
@@ -186,14 +189,14 @@
             await asyncio.sleep(timeout_s)
             return Err(Failure.from_code(ResultCode.BACKEND_LOST, ran=Ran.MAYBE))
         return Ok(
-            OrderReply(status, status == BEGUN, status == DONE, status == TOO_OLD)
+            OrderReply(status, status == BEGUN, status == DONE, status == OUTDATED)
         )
 
     async def report(
         self, address: str, registered_id: str, *, timeout_s: float
     ) -> Result[BackendReport, Failure]:
-        """Ask for a report."""
-        await asyncio.sleep(ORDER_S)
+        """Request a report from the engine at an address."""
+        await asyncio.sleep(BACKEND_LATENCY_S)
         engine = self.fleet.at(address)
         if address in self.fleet.refusing and not self.is_cut:
             return Err(Failure.from_code(ResultCode.BACKEND_REFUSED))
@@ -204,4 +207,4 @@
         return Ok(BackendReport(is_expected, engine.slow_factor, engine.born_ms))
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is no connection to close."""
--- a/standins/src/fordhatch_standins/_memory_exchange.py
+++ b/standins/src/fordhatch_standins/_memory_exchange.py
@@ -1,4 +1,4 @@
-"""Sends requests to backend servers in memory, as the real client does over HTTP."""
+"""In-memory client that sends requests to backend servers, instead of over HTTP."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from ._backends import Backends
 from ._calls import BackendCall, CutOff, NotExecuted
 
-LINK_S = 0.001
-"""One way from a node to a backend server."""
+LINK_DELAY_S = 0.001
+"""One-way latency from a node to a backend server."""
 
-CONNECT_FAILS_S = 0.25
-"""A backend server that is gone lets a connection hang this long."""
+CONNECT_TIMEOUT_S = 0.25
+"""Time until a connection to an unreachable backend server fails."""
 
-_OK, _FULL, _OTHER_BACKEND = 200, 503, 421
-_USUAL_URGENCY = 5
+_OK, _UNAVAILABLE, _MISDIRECTED = 200, 503, 421
+_DEFAULT_URGENCY = 5
 
 
 @attrs.define(eq=False, repr=False)
 class MemoryAnswer:
-    """What ``BackendAnswer`` is over HTTP."""
+    """In-memory counterpart of ``BackendAnswer``."""
 
     backend: BackendServer
     fields: AnswerFields
@@ -47,7 +47,11 @@
         return [("Content-Type", "text/event-stream")]
 
     async def read_piece(self) -> bytes:
-        """Return the next bytes of the body; empty at its complete end."""
+        """Return the next bytes of the body, or none at the end of a complete one.
+
+        Raises:
+            aiohttp.ClientPayloadError: If the connection closes early.
+        """
         if self._first:
             first, self._first = self._first, b""
             return first
@@ -64,20 +68,20 @@
         return b"".join(pieces)
 
     def close(self) -> None:
-        """Cancel what is left of the request."""
+        """Cancel the rest of the request."""
         task = asyncio.ensure_future(self._pieces.aclose())  # type: ignore[attr-defined]
         task.add_done_callback(lambda t: t.cancelled() or t.exception())
 
 
 @attrs.define(eq=False, repr=False)
 class MemoryExchange:
-    """What ``ExchangeClient`` does, on backend servers in memory."""
+    """``ExchangeClient`` on backend servers in memory."""
 
     backends: Backends
     timer: Timer
     node_name: str = ""
     is_cut: Callable[[str], bool] = lambda address: False
-    """Whether this node doesn't reach an address."""
+    """Whether an address is unreachable from this node."""
     connections: int = 0
 
     async def send(
@@ -91,7 +95,7 @@
     ) -> Result[MemoryAnswer, SendFailure]:
         """Send a request and wait for the head of the answer."""
         self.connections += 1
-        await asyncio.sleep(LINK_S)
+        await asyncio.sleep(LINK_DELAY_S)
         stopped = request.may_go(backend.backend_id)
         if stopped is not None:
             return Err(SendFailure(SendProblem.NOT_SENT, stopped.code.name))
@@ -100,16 +104,16 @@
         pieces = None if is_cut else self._pieces(backend, call)
         if pieces is None:
             if is_cut or not self.backends.refuses(backend.address):
-                await asyncio.sleep(CONNECT_FAILS_S)
+                await asyncio.sleep(CONNECT_TIMEOUT_S)
             return Err(SendFailure(SendProblem.NOT_SENT, "no connection"))
         try:
             async with self.timer.timeout(head_timeout_s):
                 first = await anext(pieces)
         except NotExecuted as refusal:
             request.arrived_at(backend.backend_id, may_have_run=False)
-            if refusal.status == _OTHER_BACKEND:
+            if refusal.status == _MISDIRECTED:
                 return Err(SendFailure(SendProblem.OTHER_BACKEND, refusal.at_fault))
-            asked = self._asked(backend, refused=True)
+            asked = self._backpressure(backend, refused=True)
             return Err(SendFailure(SendProblem.REFUSED, refusal.at_fault, asked))
         except (CutOff, StopAsyncIteration) as error:
             request.arrived_at(backend.backend_id, may_have_run=True)
@@ -123,7 +127,7 @@
             RefusalKind.NONE,
             True,
             False,
-            backpressure=self._asked(backend, refused=False),
+            backpressure=self._backpressure(backend, refused=False),
         )
         return Ok(MemoryAnswer(backend, fields, _OK, pieces, first))
 
@@ -145,7 +149,7 @@
             model=fields.model,
             prompt_tokens=fields.prompt_tokens,
             output_tokens=fields.max_output_tokens,
-            urgency=_USUAL_URGENCY if urgency is None else urgency,
+            urgency=_DEFAULT_URGENCY if urgency is None else urgency,
             last_event=int(last_event_id) if last_event_id is not None else -1,
         )
 
@@ -154,32 +158,32 @@
     ) -> AsyncIterator[bytes] | None:
         plain = self.backends.plain.get(backend.address)
         if plain is not None and not plain.is_dead:
-            if self._is_turned_away(plain.backend_id):
+            if self._is_refused(plain.backend_id):
                 return _refusal()
-            return _one_piece(plain.serve(call))
+            return _single_piece(plain.serve(call))
         work = self.backends.work_at(backend.address)
         if work is None:
             return None
-        if self._is_turned_away(work.engine.backend_id):
+        if self._is_refused(work.engine.backend_id):
             return _refusal()
         return work.serve(call)
 
-    def _is_turned_away(self, backend_id: str) -> bool:
+    def _is_refused(self, backend_id: str) -> bool:
         return self.backends.pressure.arrived(backend_id, self.node_name)
 
-    def _asked(self, backend: BackendServer, *, refused: bool) -> Backpressure:
+    def _backpressure(self, backend: BackendServer, *, refused: bool) -> Backpressure:
         return self.backends.pressure.answered(
             backend.registered_id, self.node_name, refused=refused
         )
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is no connection to close."""
 
 
-async def _one_piece(answer: object) -> AsyncIterator[bytes]:
+async def _single_piece(answer: object) -> AsyncIterator[bytes]:
     yield await answer  # type: ignore[misc]
 
 
 async def _refusal() -> AsyncIterator[bytes]:
-    raise NotExecuted(_FULL)
+    raise NotExecuted(_UNAVAILABLE)
     yield b""
--- a/standins/src/fordhatch_standins/_memory_network.py
+++ b/standins/src/fordhatch_standins/_memory_network.py
@@ -1,4 +1,4 @@
-"""Connections between nodes within one process, which can be cut."""
+"""Connections between nodes within one process, with simulated partitions."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from fordhatch.core import Failure, ResultCode
 from fordhatch.protocol import Handler, decode, encode, receive_from
 
-CONNECT_FAILS_S = 1.0
-"""Connecting across a cut fails after this time."""
+CONNECT_TIMEOUT_S = 1.0
+"""Time until connecting across a partition fails."""
 
 
 @attrs.define(eq=False, repr=False)
 class MemoryNetwork:
-    """Knows every node's handler of requests."""
+    """Connects the nodes of a site by their addresses."""
 
     pools: dict[str, MemoryPool] = attrs.field(factory=dict)
     cut: Callable[[str, str], bool] = lambda a, b: False
-    """Whether nothing gets from one address to another."""
+    """Whether the connection from one address to another is cut."""
     messages: int = 0
-    """Messages that went from node to node."""
+    """Number of messages between nodes."""
     payload_bytes: int = 0
-    """Their encoded length."""
+    """Total encoded length of the messages."""
 
     def pool(self, node_name: str, address: str) -> MemoryPool:
-        """Return the pool of a node."""
+        """Create and return the connection pool of a node."""
         self.pools[address] = MemoryPool(node_name, address, self)
         return self.pools[address]
 
     def carry(self, message: object) -> Any:
-        """Return a message as it arrives, through the real codec."""
+        """Return a message after encoding and decoding, and count it."""
         body = encode(0, message)
         self.messages += 1
         self.payload_bytes += len(body)
         return decode(body)[1]
 
     def drop(self, address: str) -> None:
-        """Make a node unreachable, as if its process had ended."""
+        """Make a node unreachable, as if its process had terminated."""
         self.pools.pop(address, None)
 
 
@@ -51,17 +51,17 @@
 
     peer_name: str
     network: MemoryNetwork
-    passes: Callable[[], bool]
+    is_connected: Callable[[], bool]
     inbox: asyncio.Queue[Any] = attrs.field(factory=asyncio.Queue)
     closed: asyncio.Event = attrs.field(factory=asyncio.Event)
     other: MemoryChannel | None = None
     task: asyncio.Future[None] | None = None
 
     async def send(self, message: object) -> Result[None, Failure]:
-        """Send through the real codec; across a cut the message is lost."""
+        """Send a message through the codec; a cut connection loses it."""
         if self.other is None or self.other.closed.is_set():
             return Err(Failure.from_code(ResultCode.PEER_UNREACHABLE))
-        if self.passes():
+        if self.is_connected():
             self.other.inbox.put_nowait(self.network.carry(message))
         return Ok(None)
 
@@ -70,7 +70,7 @@
         return await receive_from(self.inbox, timeout_s)
 
     async def close(self) -> None:
-        """End the request; the other side cancels its work."""
+        """End the request and cancel its processing at the peer."""
         self.closed.set()
         if self.task is not None:
             self.task.cancel()
@@ -78,7 +78,7 @@
 
 @attrs.define(eq=False, repr=False)
 class MemoryPool:
-    """Stands in for a node's pool of connections."""
+    """In-memory replacement for a node's connection pool."""
 
     node_name: str
     address: str
@@ -87,14 +87,14 @@
     shared_key: bytes = b""
 
     async def listen(self, host: str, port: int) -> int:
-        """Nothing to listen on."""
+        """Return the port: no socket is needed."""
         return port
 
     async def open(self, address: str, message: object) -> Result[Any, Failure]:
-        """Start a request at another node."""
+        """Start a request to another node."""
         target = self.network.pools.get(address)
         if target is None or self.network.cut(self.address, address):
-            await asyncio.sleep(CONNECT_FAILS_S if target else 0.0)
+            await asyncio.sleep(CONNECT_TIMEOUT_S if target else 0.0)
             return Err(Failure.from_code(ResultCode.PEER_UNREACHABLE))
         here = MemoryChannel(
             target.node_name,
@@ -114,7 +114,7 @@
     async def request(
         self, address: str, message: object, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Send a request that has exactly one answer and return it."""
+        """Send a request that has exactly one answer and return the answer."""
         opened = await self.open(address, message)
         if opened.is_err():
             return opened
@@ -124,7 +124,7 @@
             await opened.unwrap().close()
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is no connection to close."""
 
 
 async def _serve(
--- a/standins/src/fordhatch_standins/_plain_service.py
+++ b/standins/src/fordhatch_standins/_plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service beside the model engines, in memory."""
+"""Plain service, which is not a model engine, in memory."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from fordhatch.adapter import BACKENDS_TABLE
 
-from ._calls import BackendCall, CutOff, NotExecuted, Waiting
+from ._calls import BackendCall, CutOff, NotExecuted, SlotQueue
 from ._entries import backend_entry
 from ._store_model import StoreModel
 
-_FULL, _OTHER = 503, 421
+_UNAVAILABLE, _MISDIRECTED = 503, 421
 
 
 @attrs.define(eq=False, repr=False)
@@ -28,9 +28,9 @@
     store: StoreModel
     rng: random.Random
     runs: Counter[str]
-    """How often each request has run, by its id, over the whole service."""
+    """Number of runs of each request, by its id, over the whole service."""
     contents: Counter[str]
-    """The same by the content of the request."""
+    """Number of runs by the digest of the request's content."""
     zone: str = "z1"
     slots: int = 6
     queue: int = 24
@@ -38,13 +38,13 @@
     is_dead: bool = False
     running: int = 0
     lost_share: float = 0.0
-    """Requests that run and whose answer is lost."""
+    """Fraction of the requests that run but whose answer is lost."""
     refuses: bool = False
-    """Every request is turned away, not run."""
-    _waiting: Waiting = attrs.field(factory=Waiting)
+    """Whether every request is refused without being run."""
+    _slot_queue: SlotQueue = attrs.field(factory=SlotQueue)
 
     def register(self, state: str = "ready") -> None:
-        """Write its entry."""
+        """Write the backend server's entry to the store."""
         entry = backend_entry(
             self.service, self.address, zone=self.zone, slots=self.slots, state=state
         )
@@ -54,17 +54,17 @@
         """Return the body of a request's answer.
 
         Raises:
-            NotExecuted: If the request has not run and never will.
-            CutOff: If the connection ends without an answer.
+            NotExecuted: If the request has not run and will not run.
+            CutOff: If the connection closes without an answer.
         """
         if self.is_dead:
             raise CutOff
         if call.backend_id != self.backend_id:
-            raise NotExecuted(_OTHER, self.backend_id)
-        if self.refuses or len(self._waiting) >= self.queue:
-            raise NotExecuted(_FULL)
+            raise NotExecuted(_MISDIRECTED, self.backend_id)
+        if self.refuses or len(self._slot_queue) >= self.queue:
+            raise NotExecuted(_UNAVAILABLE)
         if self.running >= self.slots:
-            await self._waiting.wait(call.urgency)
+            await self._slot_queue.wait(call.urgency)
         self.running += 1
         try:
             self.runs[call.request_id] += 1
@@ -76,4 +76,4 @@
             return json.dumps(answer).encode()
         finally:
             self.running -= 1
-            self._waiting.wake_first()
+            self._slot_queue.wake_first()
--- a/standins/src/fordhatch_standins/_scripted_backend.py
+++ b/standins/src/fordhatch_standins/_scripted_backend.py
@@ -1,4 +1,4 @@
-"""A backend server whose every answer a test writes byte by byte."""
+"""Backend server whose answers are written byte by byte by a test."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import attrs
 
 REPORT_PATH = "/v1/report"
-"""Reports need no script: whoever listens is alive."""
+"""Path of reports, which are answered without a script."""
 
 SIGNATURE = "3e1b.07.5a2.600.0.c9f2a4d1"
 
 
 @attrs.frozen
 class SeenRequest:
-    """A request as it arrived."""
+    """A request as received."""
 
     method: str
     target: str
@@ -24,7 +24,7 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of this try."""
+        """Id of this attempt."""
         return self.headers["x-attempt-id"]
 
 
@@ -39,7 +39,7 @@
     request_id: str | None = None,
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Return a complete signed answer with a length."""
+    """Return a complete signed answer with a ``Content-Length``."""
     fields = {
         "X-Attempt-Id": request_id or request.request_id,
         "X-Server-Seal": SIGNATURE,
@@ -52,20 +52,20 @@
 
 @attrs.define(eq=False, repr=False)
 class ScriptedBackend:
-    """Listens on loopback, notes every request and runs the script for it."""
+    """Listens on loopback, records every request and runs the script for it."""
 
     script: Script
     seen: list[SeenRequest] = attrs.field(factory=list)
     left: list[str] = attrs.field(factory=list)
-    """Requests whose connection the other side closed before the script ended."""
+    """Ids of requests whose client disconnected before the script finished."""
     reports: int = 0
-    """How often it was asked for its report."""
+    """Number of requests for a report."""
     report: bytes | None = b"{}"
-    """What it answers then; None for nothing at all."""
+    """Body of the report; None to leave the request unanswered."""
     _server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Listen; returns ``host:port``."""
+        """Start to listen and return ``host:port``."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         return f"{host}:{port}"
@@ -90,12 +90,12 @@
             return
         self.seen.append(request)
         work = asyncio.ensure_future(self.script(request, writer))
-        gone = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
+        disconnected = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait([work, disconnected], return_when=asyncio.FIRST_COMPLETED)
         if not work.done():
             self.left.append(request.request_id)
             work.cancel()
-        gone.cancel()
+        disconnected.cancel()
         writer.close()
 
     async def close(self) -> None:
--- a/standins/src/fordhatch_standins/_store_http.py
+++ b/standins/src/fordhatch_standins/_store_http.py
@@ -1,4 +1,4 @@
-"""The stand-in store on its published wire."""
+"""HTTP interface of the emulated store."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def store_handler(model: StoreModel) -> Handler:
-    """Return a handler that serves a model of the store over HTTP."""
+    """Return a handler that serves a store model over HTTP."""
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         model.calls += 1
         if model.faults.is_silent:
             await asyncio.sleep(3600)
-        answer = await _answered(model, request)
+        answer = await _dispatch(model, request)
         answer.headers[GENERATION_HEADER] = str(model.generation)
         return answer
 
     return handle
 
 
-async def _answered(model: StoreModel, request: web.BaseRequest) -> web.Response:
+async def _dispatch(model: StoreModel, request: web.BaseRequest) -> web.Response:
     if model.faults.is_down:
         return web.Response(status=503)
     match (request.method, request.path):
@@ -44,13 +44,13 @@
     return web.Response(status=404)
 
 
-def _answer(status: int, **fields: Any) -> web.Response:
+def _json_response(status: int, **fields: Any) -> web.Response:
     return web.Response(
         status=status, body=json.dumps(fields), content_type="application/json"
     )
 
 
-def _shown(row: StoredRow) -> dict[str, object]:
+def _encode_row(row: StoredRow) -> dict[str, object]:
     table, part, key = row.name
     shown: dict[str, object] = {
         "table": table,
@@ -69,9 +69,9 @@
     limit = min(int(query.get("limit", 500)), 500)
     first_key, part = query.get("from", ""), query.get("part", "")
     rows = model.page(query["table"], first_key, limit + 1, part)
-    return _answer(
+    return _json_response(
         200,
-        rows=[_shown(row) for row in rows[:limit]],
+        rows=[_encode_row(row) for row in rows[:limit]],
         **{"has-more": len(rows) > limit, "ver": model.version, "now-ms": 1},
     )
 
@@ -80,20 +80,21 @@
     wait_s = int(query.get("wait-ms", 0)) / 1000
     found = await model.changes(query["table"], int(query["after"]), wait_s)
     if found is None:
-        return _answer(410)
-    rows = [_shown(row) for row in found]
-    return _answer(200, rows=rows, **{"ver": model.version, "now-ms": 1})
+        return _json_response(410)
+    rows = [_encode_row(row) for row in found]
+    return _json_response(200, rows=rows, **{"ver": model.version, "now-ms": 1})
 
 
 async def _transact(
     model: StoreModel, request: web.BaseRequest, raw: bytes
 ) -> web.Response:
     body = json.loads(raw)
-    expected = {_name(row): row["ver"] for row in body.get("expected-rev", ())}
+    expected = {_row_name(row): row["ver"] for row in body.get("expected-rev", ())}
     puts = {
-        _name(row): base64.b64decode(row["value"]) for row in body.get("set-keys", ())
+        _row_name(row): base64.b64decode(row["value"])
+        for row in body.get("set-keys", ())
     }
-    removes = tuple(_name(row) for row in body.get("remove", ()))
+    removes = tuple(_row_name(row) for row in body.get("remove", ()))
     if model.faults.late_writes > 0:
         model.faults.late_writes -= 1
         model.transact_later(expected, puts, removes)
@@ -104,9 +105,9 @@
         request.transport.abort()
         return web.Response(status=503)
     if not version:
-        return _answer(412, rows=[_shown(row) for row in conflicts])
-    return _answer(200, **{"ver": version, "now-ms": 1})
+        return _json_response(412, rows=[_encode_row(row) for row in conflicts])
+    return _json_response(200, **{"ver": version, "now-ms": 1})
 
 
-def _name(row: dict[str, Any]) -> Name:
+def _row_name(row: dict[str, Any]) -> Name:
     return row["table"], row.get("part", ""), row["key"]
--- a/standins/src/fordhatch_standins/_store_model.py
+++ b/standins/src/fordhatch_standins/_store_model.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store in memory."""
+"""In-memory model of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -14,34 +14,37 @@
 Name = tuple[str, str, str]
 """Table, part and key of a row."""
 
-AUTHORS_TABLES = (OPERATOR_TABLE, BACKENDS_TABLE)
-"""Tables of those who write again what a restored store has lost."""
+EXTERNAL_TABLES = (OPERATOR_TABLE, BACKENDS_TABLE)
+"""Tables whose authors, operators and backend servers, rewrite lost rows.
+
+Rows are lost when the store is restored from a backup.
+"""
 
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong with the store."""
+    """Faults of the store."""
 
     is_down: bool = False
-    """Every call is refused, and nothing is done."""
+    """Whether every call is refused without effect."""
     is_silent: bool = False
-    """No call is answered, and nothing is done."""
+    """Whether every call is left unanswered, without effect."""
     turned_away: set[str] = attrs.field(factory=set)
-    """Nodes whose calls are refused while others are served."""
+    """Names of nodes whose calls are refused, while other nodes are served."""
     lost_answers: int = 0
-    """So many of the next writes are done and not answered."""
+    """Number of the next writes that are applied but not answered."""
     late_writes: int = 0
-    """So many of the next writes are not answered, and done later if their conditions
-    still hold."""
+    """Number of the next writes that are not answered, and applied later if their
+    conditions still hold."""
     late_write_s: float = 2.0
-    """How much later."""
+    """Delay of late writes."""
     mutes_watches: bool = False
-    """Watches hear nothing of changes."""
+    """Whether watches receive no changes."""
 
 
 @attrs.frozen
 class StoredRow:
-    """A row, or the note that it was removed."""
+    """A row, or a tombstone for a removed one."""
 
     name: Name
     version: int
@@ -51,7 +54,7 @@
 
 @attrs.frozen(repr=False)
 class StoreCopy:
-    """Everything that a store held at one moment."""
+    """Complete state of the store at one time."""
 
     rows: dict[Name, StoredRow]
     version: int
@@ -61,21 +64,21 @@
 
 @attrs.define(eq=False, repr=False)
 class StoreModel:
-    """Rows, their history, and a counter that rises with each transaction."""
+    """Rows, their history, and a version that increases with each transaction."""
 
     rows: dict[Name, StoredRow] = attrs.field(factory=dict)
     version: int = 0
     generation: int = 0
-    """Rises by one each time that the store comes back from a copy."""
+    """Increases by one each time that the store is restored from a copy."""
     history: deque[StoredRow] = attrs.field(factory=deque)
     first_version: int = 0
-    """Changes up to this version are no longer known."""
+    """Version up to which the history has been dropped."""
     faults: StoreFaults = attrs.field(factory=StoreFaults)
     calls: int = 0
     _changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def put(self, table: str, key: str, value: bytes) -> int:
-        """Write one row, as an operator or backend server does."""
+        """Write one row, on behalf of an operator or backend server."""
         return self.apply({(table, "", key): value}, ())
 
     def remove(self, table: str, key: str) -> int:
@@ -83,7 +86,7 @@
         return self.apply({}, ((table, "", key),))
 
     def apply(self, puts: dict[Name, bytes], removes: tuple[Name, ...]) -> int:
-        """Change rows together; returns the version of the change."""
+        """Change rows in one transaction and return its version."""
         self.version += 1
         for name, value in puts.items():
             self._record(StoredRow(name, self.version, value))
@@ -102,28 +105,28 @@
             self.rows[row.name] = row
 
     def forget_history(self) -> None:
-        """Drop the history: watches from before must read the table whole."""
+        """Drop the history; watches of earlier versions must then reread the table."""
         self.history.clear()
         self.first_version = self.version
         self._changed.set()
         self._changed = asyncio.Event()
 
     def copy(self) -> StoreCopy:
-        """Return a copy of everything, to restore later."""
+        """Return a copy of the complete state, to restore later."""
         return StoreCopy(
             dict(self.rows), self.version, tuple(self.history), self.first_version
         )
 
     def restore(self, copy: StoreCopy) -> list[StoredRow]:
-        """Come back as the store was when it was copied.
+        """Restore the state of a copy and start a new generation.
 
         Returns:
-            What the authors of entries and configurations have written since: they
-            write it again.
+            Rows of entries and configurations that were changed since the copy, which
+            their authors will rewrite.
         """
         found = self.rows
         lost = [row for name, row in found.items() if copy.rows.get(name) != row]
-        gone = [
+        removed = [
             attrs.evolve(row, is_removed=True)
             for name, row in copy.rows.items()
             if name not in found
@@ -135,22 +138,26 @@
         self.generation += 1
         self._changed.set()
         self._changed = asyncio.Event()
-        return [row for row in (*lost, *gone) if row.name[0] in AUTHORS_TABLES]
+        return [row for row in (*lost, *removed) if row.name[0] in EXTERNAL_TABLES]
 
     def write_again(
         self, lost: list[StoredRow], within_s: float, rng: random.Random
     ) -> None:
-        """Have the authors of lost rows write them again, each at its own moment."""
+        """Schedule the rewrite of lost rows by their authors, each at a random time.
+
+        Args:
+            lost: The rows that ``restore`` has returned.
+            within_s: Latest time of a rewrite, in seconds from now.
+            rng: Source of the times.
+        """
         loop = asyncio.get_running_loop()
         for row in lost:
             restored = self.rows.get(row.name)
-            loop.call_later(
-                rng.uniform(0.0, within_s), self._write_again, row, restored
-            )
+            loop.call_later(rng.uniform(0.0, within_s), self._rewrite, row, restored)
 
-    def _write_again(self, row: StoredRow, restored: StoredRow | None) -> None:
+    def _rewrite(self, row: StoredRow, restored: StoredRow | None) -> None:
         if self.rows.get(row.name) != restored:
-            # Its author has written something newer meanwhile.
+            # The author has written a newer value in the meantime.
             return
         if row.is_removed:
             self.apply({}, (row.name,))
@@ -163,7 +170,7 @@
         puts: dict[Name, bytes],
         removes: tuple[Name, ...],
     ) -> None:
-        """Do a transaction later, if its conditions hold then."""
+        """Apply a transaction after ``late_write_s``, if its conditions hold then."""
         loop = asyncio.get_running_loop()
         loop.call_later(
             self.faults.late_write_s, self.transact, expected, puts, removes
@@ -191,7 +198,7 @@
     def page(
         self, table: str, first_key: str, limit: int, part: str = ""
     ) -> list[StoredRow]:
-        """Return rows of one part of a table from a key on."""
+        """Return rows of one part of a table in key order, starting at a key."""
         found = [
             row
             for name, row in self.rows.items()
@@ -203,23 +210,32 @@
     async def changes(
         self, table: str, after: int, wait_s: float
     ) -> list[StoredRow] | None:
-        """Return the changes of a table after a version; None if they are forgotten."""
+        """Wait for and return the changes of a table after a version.
+
+        Args:
+            table: Name of the table.
+            after: Version whose successors are returned.
+            wait_s: Maximum time to wait for a change, in seconds.
+
+        Returns:
+            The changes, or None if the history no longer covers the version.
+        """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                while not self._has_news(table, after):
+                while not self._has_changes(table, after):
                     await self._changed.wait()
-        # Looked up after the wait: a change that came as it ended is not to be skipped,
-        # as whoever asked goes on from the store's present version.
-        if not self._knows(after):
+        # Read after the wait: the client continues from the store's current version,
+        # so a change that arrives as the wait ends must be included.
+        if not self._has_history_since(after):
             return None
         return [] if self.faults.mutes_watches else self._changed_rows(table, after)
 
-    def _knows(self, after: int) -> bool:
-        """Return whether the history from a version on is known."""
+    def _has_history_since(self, after: int) -> bool:
+        """Return whether the history covers all changes after a version."""
         return self.first_version <= after <= self.version
 
-    def _has_news(self, table: str, after: int) -> bool:
-        if not self._knows(after):
+    def _has_changes(self, table: str, after: int) -> bool:
+        if not self._has_history_since(after):
             return True
         return not self.faults.mutes_watches and bool(self._changed_rows(table, after))
 
--- a/standins/src/fordhatch_standins/main.py
+++ b/standins/src/fordhatch_standins/main.py
@@ -1,4 +1,4 @@
-"""``fordhatch-standin``: the platform's store and backend servers in one process."""
+"""``fordhatch-standin``: emulates the store and backend servers in one process."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from ._store_http import store_handler
 from ._store_model import StoreModel
 
-COPY_EVERY_S = 1.0
-"""Time between copies of the store."""
+COPY_INTERVAL_S = 1.0
+"""Time between two copies of the store."""
 
 app = App(
     name="fordhatch-standin",
@@ -47,45 +47,45 @@
     step_s: float = 0.01,
     seed: int = 1,
 ) -> None:
-    """Run the store and backend servers until the process is ended.
+    """Run the store and backend servers until the process is terminated.
 
     Parameters
     ----------
     store_port
         Port of the store.
     control_port
-        Port at which faults are brought about and counts read back.
+        Port for injecting faults and reading the run counts.
     first_port
-        Port of the first backend server; the others follow.
+        Port of the first backend server; the other ports follow.
     service
         Service under which the engines register.
     model
-        The model that they can load, with others of the same times.
+        Model that the engines can load; its other versions have the same times.
     size
-        Members of its groups.
+        Number of members of the model's groups.
     load_s
-        Load of its weights from the weight store.
+        Time in seconds to load its weights from the weight store.
     warm_s
-        Load of its weights from the host.
+        Time in seconds to load its weights from the host's memory.
     domains
-        Fabric domains.
+        Number of fabric domains.
     per_domain
-        Engines of each domain.
+        Number of engines in each domain.
     plain_service
         Name of the plain service.
     plain
-        Backend servers of the plain service.
+        Number of backend servers of the plain service.
     step_s
-        Time of a token step.
+        Time of a token step in seconds.
     seed
-        Seed of everything random.
+        Seed of the random number generator.
     """
     times = ModelTimes(size, load_s, warm_s)
     rng = random.Random(seed)
     store = StoreModel()
-    fleet = EngineFleet(store, _EveryVersion({model: times}), rng, service=service)
+    fleet = EngineFleet(store, _DefaultTimes({model: times}), rng, service=service)
     backends = Backends(store, fleet, EnginePace(step_s=step_s), rng)
-    backends.pressure.tells_nodes_apart = False
+    backends.pressure.identifies_nodes = False
 
     async def serve() -> None:
         listeners = BackendListeners(backends, HOST)
@@ -105,13 +105,16 @@
         while True:
             if not (store.faults.is_down or store.faults.is_silent):
                 backends.copies.append(store.copy())
-            await asyncio.sleep(COPY_EVERY_S)
+            await asyncio.sleep(COPY_INTERVAL_S)
 
     uvloop.run(serve())
 
 
-class _EveryVersion(dict[str, ModelTimes]):
-    """Other versions of a model have the times of the first."""
+class _DefaultTimes(dict[str, ModelTimes]):
+    """Model times that default to those of the first model.
+
+    Other versions of a model have the same times.
+    """
 
     def __missing__(self, name: str) -> ModelTimes:
         return next(iter(self.values()))
--- a/standins/tests/test_requests_that_end_engines.py
+++ b/standins/tests/test_requests_that_end_engines.py
@@ -71,10 +71,10 @@
                 await asyncio.sleep(each_s)
 
     def ended(self) -> int:
-        return len(self.site.backends.crashed_s)
+        return len(self.site.backends.crash_times_s)
 
     def ended_late(self) -> int:
-        moments = self.site.backends.crashed_s
+        moments = self.site.backends.crash_times_s
         return (
             sum(m > moments[2] + SETTLED_S for m in moments[3:]) if moments[3:] else 0
         )
