--- a/standins/src/fordhatch_standins/_engine_fleet.py
+++ b/standins/src/fordhatch_standins/_engine_fleet.py
@@ -308,7 +308,7 @@
             self._record_violation(f"{place.group} is open with {len(ready)} of {size}")
 
     def _was_ready(self, name: str, key: tuple[str, int, tuple[str, ...]]) -> bool:
-        """Return whether an engine was ready in a group since this or an earlier start."""
+        """Return whether an engine was ready in a group, also before a restart."""
         engine = self.engines[name]
         return key in engine.ready_as or key in engine.ready_before
 
--- a/standins/src/fordhatch_standins/_pressure_log.py
+++ b/standins/src/fordhatch_standins/_pressure_log.py
@@ -167,7 +167,8 @@
     def count_for_limit(self, backend_id: str, now_s: float) -> int:
         """Return the number of requests within the last window that count.
 
-        A node's requests count from one reaction time after it received the limit.
+        A node's requests count from one reaction time after the limit was first
+        sent to it.
         """
         server = self._server(backend_id)
         count = 0
--- a/standins/tests/test_lab.py
+++ b/standins/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The emulator shows what it is asked for, and the same again."""
+"""The emulator serves its callers and gives reproducible results."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_an_experiment_serves_its_callers_and_is_the_same_again() -> None:
+def test_experiment_serves_callers_and_is_deterministic() -> None:
     first, again = run_experiment(SMALL), run_experiment(SMALL)
     assert first.violations == []
     assert first.served() > 0.9
@@ -57,7 +57,7 @@
         site.store.faults.is_down = True
         await asyncio.sleep(6.0)
         calls = site.store_calls() - before
-        # Each node by itself would ask for three tables five times a second.
+        # Each node on its own would poll three tables five times a second.
         assert calls.total() < 30 * 6.0 * 1.5
         site.store.faults.is_down = False
         await asyncio.sleep(1.2)
--- a/standins/tests/test_limits_of_engines.py
+++ b/standins/tests/test_limits_of_engines.py
@@ -1,13 +1,10 @@
-"""Incident: heads that named a limit got more requests than that.
-
-Seen: two heads that named a limit of about one request a second got 13 to 15 within
-four seconds, as many as before they named it.
-How it came about: the nodes sent to them as to any other head, by what each of them had
-in flight there.
-Cause: nobody read what an answer says of its server's load, and nothing counted over
-all nodes what a server gets.
-Proof: arrivals at both heads are the same before and after they name a limit, on all
-nodes; with the word read and one permit for each request the sum keeps to it.
+"""Heads that report a limit get no more requests than it allows, over all nodes.
+
+Failure: two heads that reported a limit of about one request a second got 13 to 15
+within four seconds, as many as before the report.
+Cause: the nodes ignored the limit in answers, and chose heads by the requests that each
+node had in flight there. Nothing counted the requests to a server over all nodes.
+Now each request to a limited server needs a permit, which bounds their sum.
 """
 
 from __future__ import annotations
@@ -19,16 +16,16 @@
 from fordhatch_lab import Experiment, LabLoad, LabSite, run_in_virtual_time
 
 WARM_UP_S = 25.0
-"""Loads take up to 16 s; the groups are open by then."""
+"""Time until all groups are open: loads take up to 16 s."""
 
-LIMITED_S = 16.0
+LOAD_S = 16.0
 
-EDGES = 2.0
-"""Requests by which the ends of a period of measurement may fall unluckily."""
+EDGE_TOLERANCE = 2.0
+"""Tolerance in requests for the ends of the measurement period."""
 
 
 class LimitedHeads:
-    """A site some of whose heads name a limit while callers ask for both models."""
+    """Site where some heads report a limit while callers request both models."""
 
     def __init__(self, seed: int, nodes: int, load: float = 1.0) -> None:
         self.site = LabSite.create(
@@ -55,24 +52,24 @@
                 found.setdefault(engine.place.model, engine.backend_id)
         return list(found.values())
 
-    async def play(self, limits_per_s: list[float]) -> list[tuple[int, float]]:
-        """Return what came to each head, and what its limit allows for that time."""
+    async def measure(self, limits_per_s: list[float]) -> list[tuple[int, float]]:
+        """Return the requests at each head, and the number that its limit allows."""
         await self.site.start()
         await asyncio.sleep(WARM_UP_S)
-        work = asyncio.ensure_future(self.load.run(LIMITED_S))
-        named = dict(zip(self.heads(), limits_per_s, strict=True))
+        work = asyncio.ensure_future(self.load.run(LOAD_S))
+        limits = dict(zip(self.heads(), limits_per_s, strict=True))
         await asyncio.sleep(1.0)
-        for head, limit_per_s in named.items():
+        for head, limit_per_s in limits.items():
             self.pressure.limit(head, limit_per_s)
         since_s = asyncio.get_running_loop().time() + 4.0
         await work
-        over_s = LIMITED_S - 5.0
-        came = [
+        over_s = LOAD_S - 5.0
+        received = [
             (len(self.pressure.arrivals(head, since_s)), over_s * limit_per_s)
-            for head, limit_per_s in named.items()
+            for head, limit_per_s in limits.items()
         ]
         await self.site.close()
-        return came
+        return received
 
     def served(self) -> float:
         outcomes = self.load.outcomes
@@ -80,10 +77,13 @@
 
 
 @pytest.mark.parametrize("seed", [21, 22])
-def test_heads_get_no_more_than_the_limit_that_they_name(seed) -> None:
+def test_heads_receive_at_most_their_reported_limit(seed) -> None:
     site = LimitedHeads(seed, nodes=8)
-    came = run_in_virtual_time(site.play([1.3, 1.1]))
+    received = run_in_virtual_time(site.measure([1.3, 1.1]))
     assert site.pressure.breaches == []
-    # Where work is there to fill it, a limit is used.
-    assert all(0.85 * most - EDGES <= n <= most + EDGES for n, most in came)
+    # With enough requests, the limit is also used up.
+    assert all(
+        0.85 * allowed - EDGE_TOLERANCE <= n <= allowed + EDGE_TOLERANCE
+        for n, allowed in received
+    )
     assert site.served() >= 0.99
--- a/standins/tests/test_outages.py
+++ b/standins/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""Pattern: the store is away for seconds, for all nodes or for some of them."""
+"""The store is unavailable for seconds, for all nodes or for some of them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from fordhatch_lab import Experiment, LabNode, LabSite, run_in_virtual_time
 
 WARM_UP_S = 25.0
-"""Loads take up to 16 s; the groups are open by then."""
+"""Time until all groups are open: loads take up to 16 s."""
 
 LENIENT = Experiment(nodes=7, domains=1, is_revocation_strict=False)
 
 
-def play(
+def simulate(
     experiment: Experiment, scenario: Callable[[LabSite], Awaitable[None]]
 ) -> None:
     async def run() -> None:
@@ -30,7 +30,7 @@
     return [one.node.state.why_not() is None for one in site.nodes]
 
 
-def test_all_nodes_serve_on_through_an_outage_for_all() -> None:
+def test_all_nodes_serve_through_system_wide_outage() -> None:
     async def scenario(site: LabSite) -> None:
         site.store.faults.is_down = True
         for _ in range(24):
@@ -42,29 +42,29 @@
             await asyncio.sleep(0.1)
             assert all(serving(site))
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
-def test_a_silent_store_is_an_outage_as_well() -> None:
+def test_silent_store_is_treated_as_outage() -> None:
     async def scenario(site: LabSite) -> None:
         site.store.faults.is_silent = True
         for _ in range(20):
             await asyncio.sleep(0.5)
             assert all(serving(site))
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
-def test_where_removal_is_strict_an_outage_stops_all() -> None:
+def test_strict_revocation_stops_all_nodes_in_outage() -> None:
     async def scenario(site: LabSite) -> None:
         site.store.faults.is_down = True
         await asyncio.sleep(3.8)
         assert not any(serving(site))
 
-    play(Experiment(nodes=7, domains=1), scenario)
+    simulate(Experiment(nodes=7, domains=1), scenario)
 
 
-def test_nodes_that_are_cut_off_together_stop_and_the_others_go_on() -> None:
+def test_partitioned_nodes_stop_and_the_majority_serves() -> None:
     async def scenario(site: LabSite) -> None:
         cut = {one.node.settings.peer_address for one in site.nodes[:2]}
         site.network.cut = lambda a, b: (a in cut) is not (b in cut)
@@ -74,10 +74,10 @@
         assert serving(site) == [False, False, True, True, True, True, True]
         assert not site.nodes[0].node.state.is_ready()
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
-def test_nodes_that_the_store_turns_away_live_on_the_others_word() -> None:
+def test_nodes_refused_by_the_store_follow_other_nodes() -> None:
     async def scenario(site: LabSite) -> None:
         for one in site.nodes[:3]:
             site.store.faults.turned_away.add(one.node.settings.node_name)
@@ -86,19 +86,19 @@
             assert all(serving(site))
             assert max(map(age_s, site.nodes)) < 2.0
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
-def open_heads(one: LabNode) -> int:
+def open_head_count(one: LabNode) -> int:
     directory = one.node.view.directory
     return sum(b.is_open_head for b in directory.backends.values())
 
 
 def test_groups_whose_entries_lapsed_serve_on_after_a_restart_of_all() -> None:
-    """Pattern: all nodes are killed at the end of an outage in which entries lapse.
+    """All nodes are killed at the end of an outage in which entries expire.
 
-    Heartbeats come every 1.2 s, so that the entries are back one by one within that
-    time of the store's return.
+    Heartbeats are sent every 1.2 s, so that the entries reappear one by one within that
+    time after the outage.
     """
 
     async def scenario(site: LabSite) -> None:
@@ -113,14 +113,14 @@
         site.store.faults.is_down = False
         fleet.come_back(within_s=1.2)
         await asyncio.sleep(0.4)
-        assert [open_heads(one) for one in site.nodes] == [heads] * len(site.nodes)
+        assert [open_head_count(one) for one in site.nodes] == [heads] * len(site.nodes)
         await asyncio.sleep(4.0)
         epochs = {e.place.epoch for e in fleet.engines.values() if e.place}
         assert sum(fleet.working_groups().values()) == heads
         assert max(epochs) < site.planner().node.lease.epoch_base * 1000
         assert fleet.violations == []
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
 def test_who_does_not_come_back_after_the_outage_is_replaced() -> None:
@@ -141,7 +141,7 @@
         assert dead not in members
         assert fleet.violations == []
 
-    play(LENIENT, scenario)
+    simulate(LENIENT, scenario)
 
 
 def age_s(one: LabNode) -> float:
