--- a/standins/src/fordhatch_standins/_calls.py
+++ b/standins/src/fordhatch_standins/_calls.py
@@ -53,8 +53,8 @@
         content = json.loads(body)["messages"][-1]["content"]
     except (ValueError, KeyError, TypeError, IndexError):
         content = body.decode("latin-1")
-    word = hashlib.sha256(content.encode()).hexdigest()[:4]
-    return f" {word}{index}"
+    prefix = hashlib.sha256(content.encode()).hexdigest()[:4]
+    return f" {prefix}{index}"
 
 
 def event_bytes(body: bytes, index: int) -> bytes:
