--- a/standins/tests/test_rests_of_backends.py
+++ b/standins/tests/test_rests_of_backends.py
@@ -6,6 +6,8 @@
 it avoids a server for half a second, or not at all if the server answers other requests
 in between. An avoided server was still used as a last resort, and any successful answer
 ended the avoidance.
+The failure shows when a server refuses a node three times within a back-off and serves
+nothing in between, while other servers serve.
 Now the node reads the time and blocks the server until it has passed.
 """
 
