--- a/standins/src/fordhatch_lab/__init__.py
+++ b/standins/src/fordhatch_lab/__init__.py
@@ -1,4 +1,4 @@
-"""The emulator: real nodes in virtual time before stand-ins, under load and faults."""
+"""Emulator: real nodes in virtual time with stand-in engines, load and faults."""
 
 from __future__ import annotations
 
--- a/standins/src/fordhatch_lab/_experiment.py
+++ b/standins/src/fordhatch_lab/_experiment.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: sizes, load and faults."""
+"""Settings of an experiment: sizes, load and faults."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from fordhatch_standins import EnginePace, ModelTimes
 
-from ._drill import StoreDrill
+from ._store_outage import StoreOutage
 
 
 @attrs.frozen
 class LabModel:
-    """A model with the members of a group and its share of the work."""
+    """A model with its group size, its share of the work and its times."""
 
     name: str
     size: int
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class RequestClass:
-    """One kind of request, as on the users' sheets."""
+    """One kind of request, with its arrival rate, objectives and value."""
 
     name: str
     model: str
     per_s: float
     prompt_tokens: int
     output_tokens: int
-    goal_s: float
-    gap_s: float
+    objective_s: float
+    max_gap_s: float
     deadline_s: float
     worth: float
     late_worth: float
@@ -44,19 +44,19 @@
     LabModel("m0", 4, 0.67, 1.0, 16.0, 1.6),
     LabModel("m1", 2, 0.33, 0.6, 12.0, 1.1),
 )
-"""The models of today's deployments."""
+"""The models of current deployments."""
 
 CLASSES = (
     RequestClass("summary", "m0", 14.6, 1420, 135, 0.5, 0.3, 8.0, 3.0, 0.76),
     RequestClass("check", "m1", 42.5, 674, 135, 0.3, 0.2, 6.0, 1.7, 0.41),
     RequestClass("code", "m0", 10.6, 1960, 25, 0.5, 0.3, 6.0, 1.9, 0.49),
 )
-"""The streams of today's deployments, for 48 backend servers."""
+"""The request classes of current deployments, for 48 backend servers."""
 
 
 @attrs.frozen
 class Experiment:
-    """One day in virtual time."""
+    """Settings of one run in virtual time."""
 
     nodes: int = 9
     zones: int = 3
@@ -64,37 +64,37 @@
     per_domain: int = 8
     seed: int = 1
     warm_up_s: float = 45.0
-    """Groups form and weights are staged before anything is measured."""
+    """Time before measuring, in which groups form and weights are preloaded."""
     duration_s: float = 30.0
     load: float = 1.0
-    """Factor on the load that today's deployments have for their size."""
+    """Factor on the load of current deployments of the same size."""
     loss_every_s: float = 3.0
-    """Mean time between losses of a member of some group; 0 for none."""
+    """Mean time between crashes of a random group member; 0 for none."""
     empty_every_s: float = 3.0
-    """Mean time between empty backend servers that come; 0 for none."""
+    """Mean time between arrivals of empty backend servers; 0 for none."""
     dark_domain_at_s: float = 0.0
-    """When a whole domain ends; 0 for never."""
+    """When all engines of one fabric domain crash; 0 for never."""
     planner_dies_at_s: float = 0.0
-    """When the planner's node ends; 0 for never."""
-    drill: StoreDrill | None = None
-    """An absence of the store; None for none."""
+    """When the node that holds the planner's lease crashes; 0 for never."""
+    outage: StoreOutage | None = None
+    """Simulated outage of the store; None for none."""
     is_revocation_strict: bool = True
-    """Whether a removed API key must be refused within a bound, come what may."""
+    """Whether a removed API key must be refused in time under all faults."""
     models: tuple[LabModel, ...] = MODELS
     classes: tuple[RequestClass, ...] = CLASSES
 
     @property
     def size(self) -> int:
-        """Number of engines at the start."""
+        """Initial number of engines."""
         return self.domains * self.per_domain
 
     @property
     def load_factor(self) -> float:
-        """Factor on the arrivals of the classes, which are those of 48 engines."""
+        """Factor on the arrival rates of the classes, which hold for 48 engines."""
         return self.load * self.size / 48.0
 
     def model_times(self) -> dict[str, ModelTimes]:
-        """Return the models as the stand-in engines need them."""
+        """Return the models in the format of the stand-in engines."""
         return {m.name: ModelTimes(m.size, m.load_s, m.warm_s) for m in self.models}
 
     def pace(self) -> EnginePace:
@@ -102,7 +102,7 @@
         return EnginePace(model_factor={m.name: m.pace for m in self.models})
 
     def configuration(self) -> bytes:
-        """Return the operators' configuration as it lies in the store."""
+        """Return the operators' configuration as it is kept in the store."""
         engine: dict[str, Any] = {
             "slots": 13,
             "stride": 5,
@@ -143,6 +143,6 @@
         "service": "llm",
         "attempts": 2,
         "timeout-ms": int(one.deadline_s * 1000),
-        "goal-ms": int(one.goal_s * 1000),
-        "max-gap-ms": int(one.gap_s * 1000),
+        "goal-ms": int(one.objective_s * 1000),
+        "max-gap-ms": int(one.max_gap_s * 1000),
     }
--- a/standins/src/fordhatch_lab/_lab_load.py
+++ b/standins/src/fordhatch_lab/_lab_load.py
@@ -1,4 +1,4 @@
-"""Callers of an experiment: requests at random moments, and what they see."""
+"""Simulated callers: random request arrivals and their observed outcomes."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from ._lab_site import LabNode, LabSite
 from ._measures import Outcome
 
-SPREAD = (0.4, 1.6)
-"""Prompts and answers are between these factors of their mean."""
+LENGTH_RANGE = (0.4, 1.6)
+"""Range of prompt and answer lengths, as factors of their mean."""
 
 
 @attrs.define(eq=False, repr=False)
 class LabReply:
-    """Notes when the parts of an answer come."""
+    """Records the arrival times of the parts of an answer."""
 
-    seen: Outcome
+    observed: Outcome
     outcome: str = ""
     has_begun: bool = False
 
@@ -31,43 +31,43 @@
         return asyncio.get_running_loop().time()
 
     async def refuse(self, failure: Failure) -> None:
-        """Take a refusal."""
+        """Record a refusal."""
         self.outcome = failure.code.name.lower()
-        self.seen.refusal = failure
+        self.observed.refusal = failure
 
     async def whole(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Take an answer that is no stream."""
+        """Record a complete answer that was not streamed."""
         self.outcome = f"status_{status}"
 
     async def begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Take the head of a stream."""
+        """Record the status and headers of a stream."""
         self.has_begun = True
 
     async def write(self, piece: bytes) -> None:
-        """Take events."""
+        """Record the arrival of events."""
         now_s = self._now_s()
-        if self.seen.first_s is None:
-            self.seen.first_s = now_s
-        if self.seen.last_s is not None:
-            gap_s = now_s - self.seen.last_s
-            self.seen.longest_gap_s = max(self.seen.longest_gap_s, gap_s)
-        self.seen.last_s = now_s
+        if self.observed.first_s is None:
+            self.observed.first_s = now_s
+        if self.observed.last_s is not None:
+            max_gap_s = now_s - self.observed.last_s
+            self.observed.longest_gap_s = max(self.observed.longest_gap_s, max_gap_s)
+        self.observed.last_s = now_s
 
     async def end(self) -> None:
-        """Take the end of a complete stream."""
+        """Record the end of a complete stream."""
         self.outcome = "complete"
-        self.seen.is_whole = True
+        self.observed.is_whole = True
 
     async def abort(self) -> None:
-        """Take the end of a stream that is not complete."""
+        """Record the end of an incomplete stream."""
         self.outcome = "aborted"
 
 
 @attrs.define(eq=False, repr=False)
 class LabLoad:
-    """Sends the requests of every class, each once more if it was refused."""
+    """Sends the requests of all classes; retries once after a refusal with a delay."""
 
     site: LabSite
     rng: random.Random
@@ -76,7 +76,7 @@
     _open: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     async def run(self, duration_s: float) -> None:
-        """Send requests for a while, and wait for the last answers."""
+        """Send requests for ``duration_s``, then wait for the pending answers."""
         factor = self.site.experiment.load_factor
         classes = self.site.experiment.classes
         await asyncio.gather(*(self._send(c, factor, duration_s) for c in classes))
@@ -88,34 +88,36 @@
         end_s = loop.time() + duration_s
         while loop.time() < end_s:
             await asyncio.sleep(self.rng.expovariate(kind.per_s * factor))
-            task = asyncio.ensure_future(self._ask(kind))
+            task = asyncio.ensure_future(self._request(kind))
             self._open.add(task)
             task.add_done_callback(self._open.discard)
 
-    async def _ask(self, kind: RequestClass) -> None:
-        seen = Outcome(kind, asyncio.get_running_loop().time())
-        self.outcomes.append(seen)
-        await self._try(kind, seen)
-        failure = seen.refusal
+    async def _request(self, kind: RequestClass) -> None:
+        observed = Outcome(kind, asyncio.get_running_loop().time())
+        self.outcomes.append(observed)
+        await self._attempt(kind, observed)
+        failure = observed.refusal
         if failure is not None and failure.retry_after_s is not None:
             await asyncio.sleep(failure.retry_after_s)
-            seen.refusal = None
-            await self._try(kind, seen)
+            observed.refusal = None
+            await self._attempt(kind, observed)
 
     async def ask_once(self, kind: RequestClass, target: str) -> Outcome:
-        """Send one try of a request to a node of the balancer's choice.
+        """Send a request to a random node, without a retry.
 
         Args:
-            kind: What is asked for.
-            target: The path; the body is the same text.
+            kind: Class of the request.
+            target: The path, which is also sent as the body.
         """
-        seen = Outcome(kind, asyncio.get_running_loop().time())
-        await self._try(kind, seen, target)
-        return seen
+        observed = Outcome(kind, asyncio.get_running_loop().time())
+        await self._attempt(kind, observed, target)
+        return observed
 
-    async def _try(self, kind: RequestClass, seen: Outcome, target: str = "") -> None:
+    async def _attempt(
+        self, kind: RequestClass, observed: Outcome, target: str = ""
+    ) -> None:
         node = self.rng.choice(self.site.nodes)
-        reply = LabReply(seen)
+        reply = LabReply(observed)
         self._count += 1
         target = target or f"/{kind.name}/{self._count}"
         with node.node.state.counted(reply):
@@ -134,8 +136,8 @@
             kind.deadline_s,
             (),
             model=kind.model,
-            prompt_tokens=self._spread(kind.prompt_tokens),
-            max_output_tokens=self._spread(kind.output_tokens),
+            prompt_tokens=self._random_length(kind.prompt_tokens),
+            max_output_tokens=self._random_length(kind.output_tokens),
         )
         admitted = path.admission.admit(
             found.unwrap(),
@@ -151,5 +153,5 @@
             return
         await path.dispatch.serve(admitted.unwrap(), reply)
 
-    def _spread(self, mean: int) -> int:
-        return max(int(mean * self.rng.uniform(*SPREAD)), 1)
+    def _random_length(self, mean: int) -> int:
+        return max(int(mean * self.rng.uniform(*LENGTH_RANGE)), 1)
--- a/standins/src/fordhatch_lab/_lab_site.py
+++ b/standins/src/fordhatch_lab/_lab_site.py
@@ -40,12 +40,12 @@
     load_over=1.1,
     pass_on_s=0.12,
 )
-"""The bounds of today's deployments."""
+"""The bounds of current deployments."""
 
 
 @attrs.define(eq=False, repr=False)
 class LabNode:
-    """One node with its clients."""
+    """A node and its client of the store."""
 
     node: Node
     store: MemoryStoreClient
@@ -53,7 +53,7 @@
 
 @attrs.define(eq=False, repr=False)
 class LabSite:
-    """Everything that an experiment runs."""
+    """The simulated site: store, engines, network and nodes."""
 
     experiment: Experiment
     rng: random.Random
@@ -61,8 +61,8 @@
     backends: Backends
     network: MemoryNetwork = attrs.field(factory=MemoryNetwork)
     nodes: list[LabNode] = attrs.field(factory=list)
-    gone_calls: Counter[str] = attrs.field(factory=Counter)
-    """Calls to the store of nodes that have ended."""
+    stopped_node_calls: Counter[str] = attrs.field(factory=Counter)
+    """Store calls of nodes that were stopped, by kind and table."""
 
     @classmethod
     def create(cls, experiment: Experiment) -> LabSite:
@@ -79,19 +79,19 @@
         )
 
     async def start(self) -> None:
-        """Start engines and nodes."""
+        """Start the engines and the nodes."""
         for index in range(self.experiment.size):
             self.add_engine(index // self.experiment.per_domain)
         for index in range(self.experiment.nodes):
             await self._add_node(index)
 
     def add_engine(self, domain: int) -> None:
-        """Start an empty engine in a domain."""
+        """Start an empty engine in a fabric domain."""
         zone = f"z{domain % self.experiment.zones}"
         self.backends.add_engine(f"d{domain}", zone)
 
     async def restart_all(self) -> None:
-        """End every node without a word, and start them again at their addresses."""
+        """Crash all nodes, then restart them at the same addresses."""
         count = len(self.nodes)
         for one in list(self.nodes):
             await self._end(one)
@@ -99,7 +99,7 @@
             await self._add_node(index, is_first_start=False)
 
     async def restart(self, index: int) -> None:
-        """End a node without a word, and start it again at its address."""
+        """Crash a node, then restart it at the same address."""
         one = self.nodes[index]
         await self._end(one)
         number = int(one.node.settings.node_name.removeprefix("n"))
@@ -109,7 +109,7 @@
         self.nodes.remove(one)
         self.network.drop(one.node.settings.peer_address)
         one.store.is_frozen = True
-        self.gone_calls.update(one.store.calls)
+        self.stopped_node_calls.update(one.store.calls)
         await one.node.close()
 
     async def _add_node(self, index: int, *, is_first_start: bool = True) -> None:
@@ -148,23 +148,23 @@
         self.nodes.append(LabNode(node, store))
 
     def planner(self) -> LabNode | None:
-        """Return the node that plans."""
+        """Return the node that holds the planner's lease, if any."""
         return next((n for n in self.nodes if n.node.lease.is_held()), None)
 
     async def kill_planner(self) -> None:
-        """End the planner's node without a word."""
+        """Crash the node that holds the planner's lease."""
         victim = self.planner()
         if victim is not None:
             await self._end(victim)
 
     def store_calls(self) -> Counter[str]:
-        """Return the calls to the store so far, by kind and table."""
-        calls = Counter(self.gone_calls)
+        """Return the number of store calls so far, by kind and table."""
+        calls = Counter(self.stopped_node_calls)
         for one in self.nodes:
             calls.update(one.store.calls)
         return calls
 
     async def close(self) -> None:
-        """End every part."""
+        """Stop all nodes."""
         for one in self.nodes:
             await one.node.close()
--- a/standins/src/fordhatch_lab/_limit_report.py
+++ b/standins/src/fordhatch_lab/_limit_report.py
@@ -1,4 +1,4 @@
-"""Ways of keeping a server's limit side by side, as a table and as a plot."""
+"""Comparison of strategies for a server's rate limit, as a table and a plot."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from matplotlib import pyplot as plt
 
 NORMAL_95 = 1.96
-"""Standard errors to each side of a mean within which it lies 95 times in 100."""
+"""Half-width of a 95 % confidence interval, in standard errors of the mean."""
 
-HEAD = (
+LIMIT_TABLE_HEAD = (
     "| way | nodes | limit | skew | worst of allowed | use | messages/s |\n"
     "|---|---|---|---|---|---|---|"
 )
 
 
-def limit_row(plays: Sequence[LimitPlay]) -> str:
-    """Return the line of one trial over its seeds, with 95 % intervals."""
-    trial = plays[0].trial
-    worst = max(play.worst() for play in plays)
-    use = interval([play.use() for play in plays])
-    messages = interval([play.messages_per_s() for play in plays])
+def limit_table_row(runs: Sequence[LimitPlay]) -> str:
+    """Return the table row of one trial, with 95 % intervals over its seeds."""
+    trial = runs[0].trial
+    worst = max(play.worst() for play in runs)
+    use = interval([play.use() for play in runs])
+    messages = interval([play.messages_per_s() for play in runs])
     return (
         f"| {trial.way} | {trial.nodes} | {trial.limit_per_s:g} | {trial.skew:g} "
         f"| {worst} of {allowed(trial.limit_per_s):.1f} | {use} | {messages} |"
@@ -38,7 +38,7 @@
 
 
 def interval(values: Sequence[float]) -> str:
-    """Return the mean of some values and its interval of confidence."""
+    """Return the mean of values with its 95 % confidence interval."""
     mean = statistics.fmean(values)
     if len(values) == 1:
         return f"{mean:.3f}"
@@ -46,10 +46,10 @@
     return f"{mean:.3f} +- {error:.3f}"
 
 
-def plot_limit(plays: Sequence[LimitPlay], path: Path) -> None:
-    """Draw what came within the last window at each second, against the allowed."""
+def plot_limit(runs: Sequence[LimitPlay], path: Path) -> None:
+    """Plot the requests in the last window at each second, and the allowed number."""
     figure, axis = plt.subplots(figsize=(11, 4.5), layout="constrained")
-    for play in plays:
+    for play in runs:
         seconds = Counter(int(at_s) for at_s in play.sent_s)
         end_s = int(play.trial.duration_s)
         window = int(WINDOW_S)
@@ -58,7 +58,7 @@
             for at in range(end_s)
         ]
         axis.plot(range(end_s), counts, label=play.trial.way)
-    limit_per_s = plays[0].trial.limit_per_s
+    limit_per_s = runs[0].trial.limit_per_s
     axis.axhline(allowed(limit_per_s), color="black", linestyle="--", label="allowed")
     axis.axhline(WINDOW_S * limit_per_s, color="grey", label="the limit itself")
     axis.set_xlabel("seconds")
--- a/standins/src/fordhatch_lab/_limit_trial.py
+++ b/standins/src/fordhatch_lab/_limit_trial.py
@@ -1,4 +1,4 @@
-"""Many nodes before one server that names a limit, in virtual time."""
+"""Several nodes that share one server's rate limit, in virtual time."""
 
 from __future__ import annotations
 
@@ -10,62 +10,63 @@
 
 from fordhatch.core import Timer
 
-from ._limit_ways import LINK_S, WAYS, NodesOfTrial, Way
+from ._limit_ways import LINK_LATENCY_S, STRATEGIES, LimitStrategy, TrialNodes
 from ._run import run_in_virtual_time
 
 WINDOW_S = 4.0
-FACTOR = 1.5
-SLACK = 5.0
-"""Within a window a server may get the factor times what its limit allows, and the
-slack."""
+BURST_FACTOR = 1.5
+BURST_TOLERANCE = 5.0
+"""Within any window a server may receive ``BURST_FACTOR`` times the requests of its
+limit, plus ``BURST_TOLERANCE``."""
 
 
 def allowed(limit_per_s: float) -> float:
-    """Return how many requests may come within a window."""
-    return FACTOR * WINDOW_S * limit_per_s + SLACK
+    """Return the maximum number of requests in a window of ``WINDOW_S``."""
+    return BURST_FACTOR * WINDOW_S * limit_per_s + BURST_TOLERANCE
 
 
 @attrs.frozen
 class LimitTrial:
-    """What is played."""
+    """Settings of one simulated trial."""
 
     way: str = "permits"
     nodes: int = 8
     limit_per_s: float = 1.1
     demand: float = 10.0
-    """Requests that callers would send, as a factor of the limit."""
+    """Rate of the callers' requests, as a factor of the limit."""
     skew: float = 0.0
-    """Part of them that comes to one node; the others have equal parts of the rest."""
+    """Fraction of the requests that all go to one node; the remainder is spread evenly
+over all nodes."""
     duration_s: float = 60.0
     seed: int = 1
 
 
 @attrs.define(eq=False, repr=False)
 class LimitPlay:
-    """One trial that is being played."""
+    """A running trial and the requests that reached the server."""
 
     trial: LimitTrial
-    nodes: NodesOfTrial
+    nodes: TrialNodes
     sent_s: list[float] = attrs.field(factory=list)
     senders: Counter[str] = attrs.field(factory=Counter)
 
     @classmethod
     def create(cls, trial: LimitTrial) -> LimitPlay:
-        """Build the nodes; a running event loop is needed."""
-        play = cls(trial, NodesOfTrial(trial.limit_per_s))
+        """Create the nodes; requires a running event loop."""
+        play = cls(trial, TrialNodes(trial.limit_per_s))
         for index in range(trial.nodes):
             play.add(f"n{index}")
         return play
 
-    def add(self, name: str) -> Way:
-        """Add a node that has heard the limit."""
+    def add(self, name: str) -> LimitStrategy:
+        """Add a node that knows the limit."""
         timer = Timer.from_seed(f"{self.trial.seed}/{name}")
-        way = WAYS[self.trial.way](self.nodes, name, timer)
+        way = STRATEGIES[self.trial.way](self.nodes, name, timer)
         self.nodes.ways[name] = way
         return way
 
     async def want(self, name: str, per_s: float, for_s: float) -> None:
-        """Send whenever a caller asks at a node and the server may be asked."""
+        """Generate callers' requests at a node; send those that its strategy allows."""
         rng = random.Random(f"{self.trial.seed}/{name}/callers")
         loop = asyncio.get_running_loop()
         until_s = loop.time() + for_s
@@ -74,21 +75,23 @@
             await asyncio.sleep(rng.expovariate(per_s))
             if loop.time() > until_s:
                 return
-            if name not in self.nodes.lost and await way.take():
-                await asyncio.sleep(LINK_S)
+            if name not in self.nodes.lost and await way.try_acquire():
+                await asyncio.sleep(LINK_LATENCY_S)
                 self._arrive(name, loop.time())
-                way.answered(is_refused=self.recent() > self._full())
+                way.record_answer(
+                    is_refused=self._recent_count() > self._refusal_threshold()
+                )
 
     def _arrive(self, name: str, now_s: float) -> None:
         self.sent_s.append(now_s)
         self.senders[name] += 1
 
-    def _full(self) -> float:
-        """Return from how many requests within a window on a server refuses some."""
+    def _refusal_threshold(self) -> float:
+        """Return the number of requests in a window above which the server refuses."""
         return WINDOW_S * self.trial.limit_per_s + 1.0
 
-    def recent(self) -> int:
-        """Return the requests within the window that ends now."""
+    def _recent_count(self) -> int:
+        """Return the number of requests in the window that ends now."""
         since_s = asyncio.get_running_loop().time() - WINDOW_S
         count = 0
         for at_s in reversed(self.sent_s):
@@ -98,7 +101,7 @@
         return count
 
     async def all_want(self) -> None:
-        """Play the callers of all nodes."""
+        """Generate the callers' requests at all nodes."""
         trial = self.trial
         total = trial.demand * trial.limit_per_s
         names = list(self.nodes.ways)
@@ -109,7 +112,7 @@
         )
 
     def worst(self) -> int:
-        """Return the most requests within any window."""
+        """Return the largest number of requests in any window."""
         first = most = 0
         for last, at_s in enumerate(self.sent_s):
             while self.sent_s[first] <= at_s - WINDOW_S:
@@ -118,16 +121,16 @@
         return most
 
     def use(self) -> float:
-        """Return the part of the limit that was used."""
+        """Return the used fraction of the limit."""
         return len(self.sent_s) / (self.trial.duration_s * self.trial.limit_per_s)
 
     def messages_per_s(self) -> float:
-        """Return questions between nodes a second."""
+        """Return the number of requests between nodes per second."""
         return self.nodes.messages / self.trial.duration_s
 
 
 def play_limit(trial: LimitTrial) -> LimitPlay:
-    """Play a trial; the same one gives the same requests."""
+    """Run a trial in virtual time; equal settings give the same requests."""
 
     async def play() -> LimitPlay:
         found = LimitPlay.create(trial)
--- a/standins/src/fordhatch_lab/_limit_ways.py
+++ b/standins/src/fordhatch_lab/_limit_ways.py
@@ -1,4 +1,4 @@
-"""Ways in which nodes may keep a server's limit together, behind one interface."""
+"""Strategies by which nodes jointly keep a server's limit, with one interface."""
 
 from __future__ import annotations
 
@@ -15,69 +15,70 @@
 from fordhatch.serving._permit_issuer import PermitIssuer
 
 SERVER = BackendServer("i-1", "llm", "10.0.0.1:1", "z1", BackendState.READY, 13)
-"""The server that names a limit."""
+"""The backend server that reports a limit."""
 
-LINK_S = 0.001
-"""One way between two nodes, or to the server."""
+LINK_LATENCY_S = 0.001
+"""One-way latency between two nodes, or to the server."""
 
-LOST_S = 0.1
-"""What asking a node takes that does not answer."""
+NO_ANSWER_TIMEOUT_S = 0.1
+"""Time until a request to an unreachable node fails."""
 
 FEEDBACK_STEP = 0.1
-"""Part of the first share by which a node that has been served raises its own."""
+"""Increase of a node's factor after each answer (additive increase)."""
 
 FEEDBACK_CUT = 0.5
-"""Factor on the share of a node that has been refused."""
+"""Multiplier on a node's factor after a refusal (multiplicative decrease)."""
 
 
-class Way(Protocol):
-    """What one node does before it sends to a server that names a limit."""
+class LimitStrategy(Protocol):
+    """Decides at one node whether to send to a server that reports a limit."""
 
-    async def take(self) -> bool:
-        """Return whether a request may go out now."""
+    async def try_acquire(self) -> bool:
+        """Return whether a request may be sent now."""
         ...
 
-    def answered(self, *, is_refused: bool) -> None:
-        """Take note of how a request ended."""
+    def record_answer(self, *, is_refused: bool) -> None:
+        """Record whether the server refused a request."""
         ...
 
 
 @attrs.define(eq=False, repr=False)
-class NodesOfTrial:
-    """The nodes of one trial, which may be lost or not reach each other."""
+class TrialNodes:
+    """The nodes of one trial, with simulated crashes and network partitions."""
 
     limit_per_s: float
-    ways: dict[str, Way] = attrs.field(factory=dict)
+    ways: dict[str, LimitStrategy] = attrs.field(factory=dict)
     lost: set[str] = attrs.field(factory=set)
     cut: set[frozenset[str]] = attrs.field(factory=set)
-    """Pairs of nodes that don't reach each other."""
+    """Pairs of nodes that cannot reach each other."""
     messages: int = 0
 
     async def reach(self, sender: str, to: str) -> bool:
-        """Carry a message and its answer; returns whether there is one."""
+        """Simulate a request between nodes; return whether it was answered."""
         self.messages += 1
-        await asyncio.sleep(LINK_S)
+        await asyncio.sleep(LINK_LATENCY_S)
         if {sender, to} & self.lost or {sender, to} in self.cut:
-            await asyncio.sleep(LOST_S)
+            await asyncio.sleep(NO_ANSWER_TIMEOUT_S)
             return False
         return True
 
 
 @attrs.define(eq=False, repr=False)
 class EqualShares:
-    """Each node sends its part of the limit, whatever its callers want.
+    """Gives each node an equal fraction of the limit, whatever its demand.
 
-    Its first request comes at a random moment, so that the nodes take turns.
+    The first request is sent after a random delay, so that the nodes don't send at
+    the same moments.
     """
 
-    nodes: NodesOfTrial
+    nodes: TrialNodes
     timer: Timer
     share: float = 1.0
-    """Factor on the node's part."""
+    """Factor on the node's equal fraction of the limit."""
     _next_s: float | None = None
 
-    async def take(self) -> bool:
-        """Return whether the node's own next moment has come."""
+    async def try_acquire(self) -> bool:
+        """Return whether the node's next send time has passed."""
         now_s = self.timer.now_s()
         pause_s = len(self.nodes.ways) / (self.nodes.limit_per_s * self.share)
         if self._next_s is None:
@@ -87,16 +88,16 @@
         self._next_s = max(self._next_s + pause_s, now_s + 0.5 * pause_s)
         return True
 
-    def answered(self, *, is_refused: bool) -> None:
-        """Nothing is learnt from answers."""
+    def record_answer(self, *, is_refused: bool) -> None:
+        """Ignore the answer."""
 
 
 @attrs.define(eq=False, repr=False)
 class FeedbackShares(EqualShares):
-    """A share that rises with each answer and falls with each refusal."""
+    """Adapts the node's factor by additive increase and multiplicative decrease."""
 
-    def answered(self, *, is_refused: bool) -> None:
-        """Raise the share, or cut it."""
+    def record_answer(self, *, is_refused: bool) -> None:
+        """Raise the factor after an answer, reduce it after a refusal."""
         if is_refused:
             self.share *= FEEDBACK_CUT
         else:
@@ -104,14 +105,14 @@
 
 
 @attrs.define(eq=False, repr=False)
-class PermitWay:
-    """One node gives out permits for all: what the product does."""
+class PermitStrategy:
+    """Uses permits from one issuing node, as production nodes do."""
 
     permits: Permits
 
     @classmethod
-    def create(cls, nodes: NodesOfTrial, name: str, timer: Timer) -> PermitWay:
-        """Build the way of a node that has heard the limit."""
+    def create(cls, nodes: TrialNodes, name: str, timer: Timer) -> PermitStrategy:
+        """Create the strategy of a node that knows the limit."""
 
         async def ask(to: str, limit: ServerLimit) -> Permit | None:
             if not await nodes.reach(name, to):
@@ -125,17 +126,17 @@
         pressure.heard(SERVER, Backpressure(limit_per_s=nodes.limit_per_s))
         return cls(permits)
 
-    async def take(self) -> bool:
-        """Ask for a permit."""
+    async def try_acquire(self) -> bool:
+        """Request a permit; return whether one was granted."""
         return await self.permits.take(SERVER)
 
-    def answered(self, *, is_refused: bool) -> None:
-        """Nothing is learnt from answers."""
+    def record_answer(self, *, is_refused: bool) -> None:
+        """Ignore the answer."""
 
 
-WAYS: dict[str, Callable[[NodesOfTrial, str, Timer], Way]] = {
+STRATEGIES: dict[str, Callable[[TrialNodes, str, Timer], LimitStrategy]] = {
     "equal": lambda nodes, _, timer: EqualShares(nodes, timer),
     "feedback": lambda nodes, _, timer: FeedbackShares(nodes, timer),
-    "permits": PermitWay.create,
+    "permits": PermitStrategy.create,
 }
-"""How a node is built, by the name of its way."""
+"""Factories of the strategies, by name."""
--- a/standins/src/fordhatch_lab/_measures.py
+++ b/standins/src/fordhatch_lab/_measures.py
@@ -1,4 +1,4 @@
-"""What an experiment shows."""
+"""Measurements of an experiment."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from fordhatch.core import Failure
 
 from ._experiment import RequestClass
-from ._store_drill import DrillMeasures
+from ._outage_run import OutageMeasures
 
 
 @attrs.define
 class Outcome:
-    """One request as its caller saw it."""
+    """One request as observed by its caller."""
 
     kind: RequestClass
     asked_s: float
@@ -26,45 +26,45 @@
     refusal: Failure | None = None
 
     def credit(self) -> float:
-        """Return what it is worth to its caller, of ``kind.worth``."""
+        """Return the value of the answer to its caller, at most ``kind.worth``."""
         if not self.is_whole or self.first_s is None:
             return 0.0
-        in_time = self.first_s - self.asked_s <= self.kind.goal_s
-        steady = self.longest_gap_s <= self.kind.gap_s
+        in_time = self.first_s - self.asked_s <= self.kind.objective_s
+        steady = self.longest_gap_s <= self.kind.max_gap_s
         return self.kind.worth if in_time and steady else self.kind.late_worth
 
 
 @attrs.define
 class Measures:
-    """The figures of one run."""
+    """The measurements of one run."""
 
     outcomes: list[Outcome] = attrs.field(factory=list)
     healing_s: list[float] = attrs.field(factory=list)
-    """From each loss until as many groups worked as before, or fewer were possible."""
+    """Time from each crash of a member until as many groups worked as before it."""
     groups: list[tuple[float, dict[str, int]]] = attrs.field(factory=list)
-    """Working groups by model, every half second."""
+    """Samples of the time and the number of working groups by model."""
     stranded: list[tuple[float, int]] = attrs.field(factory=list)
-    """Living engines that work in no group."""
+    """Samples of the time and the number of running engines outside working groups."""
     store_calls: Counter[str] = attrs.field(factory=Counter)
     peer_messages: int = 0
     peer_bytes: int = 0
     processor_s: float = 0.0
-    """Of the whole emulation, not of the nodes alone."""
+    """Processor time of the complete emulation, including the stand-ins."""
     violations: list[str] = attrs.field(factory=list)
-    drills: list[DrillMeasures] = attrs.field(factory=list)
+    outages: list[OutageMeasures] = attrs.field(factory=list)
     duration_s: float = 0.0
     nodes: int = 0
 
     def worth(self) -> float:
-        """Return credit earned by credit owed."""
+        """Return the earned fraction of the possible credit."""
         return _worth(self.outcomes)
 
     def worst_window(self, window_s: float = 2.0) -> float:
-        """Return the worth of the worst window that has its share of the requests."""
+        """Return the lowest worth of any window with enough requests."""
         return min(map(_worth, self._full_windows(window_s)), default=0.0)
 
     def worth_in_windows(self, window_s: float = 2.0) -> float:
-        """Return the worth of the requests in the windows that have their share."""
+        """Return the worth of the requests in all windows with enough requests."""
         return _worth([o for w in self._full_windows(window_s) for o in w])
 
     def _full_windows(self, window_s: float) -> list[list[Outcome]]:
@@ -75,17 +75,17 @@
         return [w for w in windows.values() if len(w) >= least]
 
     def served(self) -> float:
-        """Return the share of requests with a whole answer."""
+        """Return the fraction of requests with a complete answer."""
         whole = sum(o.is_whole for o in self.outcomes)
         return whole / len(self.outcomes) if self.outcomes else 0.0
 
     def first_event_s(self, share: float) -> float:
-        """Return a quantile of the time to the first event."""
+        """Return the ``share`` quantile of the time to the first event."""
         times = sorted(o.first_s - o.asked_s for o in self.outcomes if o.first_s)
         return times[int(share * (len(times) - 1))] if times else 0.0
 
     def summary(self) -> dict[str, float]:
-        """Return the figures for a table."""
+        """Return the figures of the report's table, by column."""
         nodes = max(self.nodes, 1)
         seconds = max(self.duration_s, 1e-9)
         healed = sorted(self.healing_s)
@@ -107,6 +107,6 @@
 
 
 def _worth(outcomes: Sequence[Outcome]) -> float:
-    """Return credit earned by credit owed."""
+    """Return the earned fraction of the possible credit."""
     owed = sum(o.kind.worth for o in outcomes)
     return sum(o.credit() for o in outcomes) / owed if owed else 0.0
--- a/standins/src/fordhatch_lab/_report.py
+++ b/standins/src/fordhatch_lab/_report.py
@@ -23,11 +23,11 @@
     "messages/s and node",
     "KB/s and node",
 )
-"""Figures that are drawn, one plot each."""
+"""Names of the plotted figures, one plot each."""
 
 
 def table(label: str, rows: Sequence[tuple[object, Measures]]) -> str:
-    """Return the figures of a series as a table in Markdown."""
+    """Return the figures of a series as a Markdown table."""
     names = list(rows[0][1].summary())
     lines = [f"| {label} | {' | '.join(names)} |", "|---" * (len(names) + 1) + "|"]
     for value, measures in rows:
@@ -37,7 +37,7 @@
 
 
 def plot(label: str, rows: Sequence[tuple[float, Measures]], path: Path) -> None:
-    """Draw the figures of a series against what was varied."""
+    """Plot the figures of a series against the varied setting."""
     figure, axes = plt.subplots(2, 4, figsize=(15, 6.5), layout="constrained")
     xs = [x for x, _ in rows]
     for axis, name in zip(axes.flat, PLOTTED, strict=True):
--- a/standins/src/fordhatch_lab/_run.py
+++ b/standins/src/fordhatch_lab/_run.py
@@ -1,4 +1,4 @@
-"""Plays an experiment in virtual time."""
+"""Runs an experiment in virtual time."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 
 from fordhatch.core import TaskSet
 
-from ._drill import StoreDrill
 from ._experiment import Experiment
 from ._lab_load import LabLoad
 from ._lab_site import LabSite
 from ._measures import Measures
-from ._store_drill import play_drill
+from ._outage_run import run_outage
+from ._store_outage import StoreOutage
 
-SAMPLE_S = 0.5
-"""Time between looks at the groups."""
+SAMPLE_INTERVAL_S = 0.5
+"""Time between samples of the working groups."""
 
-HEAL_LIMIT_S = 20.0
-"""A loss that no backend server can make up for is not waited for any longer."""
+HEALING_TIMEOUT_S = 20.0
+"""Limit on the wait for a lost group to be replaced. Without a free backend server
+the former number of groups is never reached again."""
 
 
 T = TypeVar("T")
 
 
 def run_experiment(experiment: Experiment) -> Measures:
-    """Play an experiment; the same one gives the same requests and faults."""
+    """Run an experiment; equal settings give the same requests and faults."""
     began_s = time.process_time()
-    measures = run_in_virtual_time(_Play.of(experiment).run())
+    measures = run_in_virtual_time(_ExperimentRun.of(experiment).run())
     measures.processor_s = time.process_time() - began_s
     return measures
 
 
 def run_in_virtual_time(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on a clock of its own, which jumps where all would wait."""
+    """Run a coroutine on a virtual clock that skips times when all tasks wait."""
     loop = looptime.new_event_loop()
     try:
         return loop.run_until_complete(work)
@@ -47,8 +48,8 @@
 
 
 @attrs.define(eq=False, repr=False)
-class _Play:
-    """One run."""
+class _ExperimentRun:
+    """One run of an experiment: load, faults and sampling."""
 
     experiment: Experiment
     site: LabSite
@@ -57,7 +58,7 @@
     _healing: TaskSet = attrs.field(factory=TaskSet)
 
     @classmethod
-    def of(cls, experiment: Experiment) -> _Play:
+    def of(cls, experiment: Experiment) -> _ExperimentRun:
         return cls(experiment, LabSite.create(experiment))
 
     async def run(self) -> Measures:
@@ -90,15 +91,15 @@
         experiment = self.experiment
         tasks = [self._sample()]
         if experiment.loss_every_s:
-            tasks.append(self._lose(experiment.loss_every_s))
+            tasks.append(self._kill_members(experiment.loss_every_s))
         if experiment.empty_every_s:
-            tasks.append(self._come(experiment.empty_every_s))
+            tasks.append(self._add_engines(experiment.empty_every_s))
         if experiment.dark_domain_at_s:
-            tasks.append(self._darken(experiment.dark_domain_at_s))
-        if experiment.drill is not None:
-            tasks.append(self._drill(experiment.drill))
+            tasks.append(self._kill_domain(experiment.dark_domain_at_s))
+        if experiment.outage is not None:
+            tasks.append(self._run_outage(experiment.outage))
         if experiment.planner_dies_at_s:
-            tasks.append(self._end_planner(experiment.planner_dies_at_s))
+            tasks.append(self._kill_planner(experiment.planner_dies_at_s))
         return tasks
 
     async def _sample(self) -> None:
@@ -110,9 +111,9 @@
             living = sum(not e.is_dead for e in fleet.engines.values())
             used = sum(n * fleet.models[m].size for m, n in working.items())
             self.measures.stranded.append((loop.time(), living - used))
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    async def _lose(self, mean_s: float) -> None:
+    async def _kill_members(self, mean_s: float) -> None:
         rng, fleet = self.site.rng, self.site.backends.fleet
         while True:
             await asyncio.sleep(rng.uniform(0.5, 1.5) * mean_s)
@@ -125,29 +126,29 @@
     async def _time_healing(self, before: int) -> None:
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        while loop.time() - began_s < HEAL_LIMIT_S and not self.is_over:
+        while loop.time() - began_s < HEALING_TIMEOUT_S and not self.is_over:
             working = sum(self.site.backends.fleet.working_groups().values())
             if working >= before:
                 self.measures.healing_s.append(loop.time() - began_s)
                 return
             await asyncio.sleep(0.05)
 
-    async def _come(self, mean_s: float) -> None:
+    async def _add_engines(self, mean_s: float) -> None:
         rng = self.site.rng
         while True:
             await asyncio.sleep(rng.uniform(0.5, 1.5) * mean_s)
             self.site.add_engine(rng.randrange(self.experiment.domains))
 
-    async def _drill(self, drill: StoreDrill) -> None:
-        self.measures.drills.append(await play_drill(self.site, drill))
+    async def _run_outage(self, outage: StoreOutage) -> None:
+        self.measures.outages.append(await run_outage(self.site, outage))
 
-    async def _darken(self, at_s: float) -> None:
+    async def _kill_domain(self, at_s: float) -> None:
         await asyncio.sleep(at_s)
         fleet = self.site.backends.fleet
         for engine in list(fleet.engines.values()):
             if engine.domain == "d0" and not engine.is_dead:
                 fleet.kill(engine)
 
-    async def _end_planner(self, at_s: float) -> None:
+    async def _kill_planner(self, at_s: float) -> None:
         await asyncio.sleep(at_s)
         await self.site.kill_planner()
--- a/standins/src/fordhatch_lab/main.py
+++ b/standins/src/fordhatch_lab/main.py
@@ -1,4 +1,4 @@
-"""``fordhatch-lab``: experiments in virtual time, and reports on them."""
+"""``fordhatch-lab``: experiments in virtual time and their reports."""
 
 from __future__ import annotations
 
@@ -10,30 +10,31 @@
 import attrs
 from cyclopts import App
 
-from ._drill import StoreDrill
 from ._experiment import Experiment
 from ._limit_trial import LimitPlay, LimitTrial, play_limit
-from ._limit_ways import WAYS
+from ._limit_ways import STRATEGIES
 from ._measures import Measures
+from ._outage_run import OUTAGE_TABLE_HEAD, outage_row
 from ._run import run_experiment
-from ._store_drill import DRILL_HEAD, drill_row
+from ._store_outage import StoreOutage
 
 app = App(
     name="fordhatch-lab",
-    help="Real nodes in virtual time before stand-ins, under load and faults.",
+    help="Run real nodes in virtual time with stand-in engines, load and faults.",
 )
 
 NODES_PER_DOMAIN = 1.5
-"""Nodes for each domain of eight engines, as today's deployments have them."""
+"""Nodes per fabric domain of eight engines, as in current deployments."""
 
 SIZES = (9, 18, 36, 72)
 """Numbers of nodes in a report; engines and load grow with them."""
 
-DRILL_AT_S = 6.0
-"""When the store goes away in an experiment; the groups have work by then."""
+OUTAGE_AT_S = 6.0
+"""Start of the store's outage, from the start of the load. By then the groups are
+serving requests."""
 
 LOSSES_S = (12.0, 6.0, 3.0, 1.5)
-"""Times between losses in a report, at the smallest size."""
+"""Mean times between member crashes in a report, at the smallest size."""
 
 
 def _sized(nodes: int, seed: int, **changes: object) -> Experiment:
@@ -69,28 +70,28 @@
     planner_dies_at_s: float = 0.0,
     output: Literal["table", "json"] = "table",
 ) -> None:
-    """Play one experiment.
+    """Run one experiment.
 
     Parameters
     ----------
     nodes
-        Entry nodes; engines and load follow.
+        Number of nodes; engines and load scale with it.
     seed
-        Seed of requests and faults.
+        Seed of the requests and faults.
     duration_s
         Virtual seconds under load.
     load
         Factor on the usual load.
     loss_every_s
-        Mean time between losses of members; 0 for none.
+        Mean seconds between crashes of group members; 0 for none.
     empty_every_s
-        Mean time between empty engines that come; 0 for none.
+        Mean seconds between arrivals of empty engines; 0 for none.
     dark_domain_at_s
-        When a whole domain ends; 0 for never.
+        When all engines of one fabric domain crash, in seconds; 0 for never.
     planner_dies_at_s
-        When the planner's node ends; 0 for never.
+        When the planner's node crashes, in seconds; 0 for never.
     output
-        A table for people, JSON for programs.
+        Output format.
     """
     experiment = _sized(nodes, seed, duration_s=duration_s, load=load)
     experiment = attrs.evolve(
@@ -115,16 +116,16 @@
     seed: int = 1,
     duration_s: float = 20.0,
 ) -> None:
-    """Play a series of experiments and print their table.
+    """Run a series of experiments and print a table.
 
     Parameters
     ----------
     over
-        What is varied.
+        Setting to vary.
     values
-        Its values.
+        Values of the setting; the usual series by default.
     seed
-        Seed of requests and faults.
+        Seed of the requests and faults.
     duration_s
         Virtual seconds under load.
     """
@@ -156,14 +157,14 @@
 def report(
     folder: Path = Path("lab-report"), *, seed: int = 1, duration_s: float = 20.0
 ) -> None:
-    """Play the usual series and write tables and plots into a folder.
+    """Run the usual series and write tables and plots to a folder.
 
     Parameters
     ----------
     folder
-        Where ``report.md`` and its pictures go.
+        Output folder of ``report.md`` and its plots.
     seed
-        Seed of requests and faults.
+        Seed of the requests and faults.
     duration_s
         Virtual seconds under load, for each experiment.
     """
@@ -190,46 +191,46 @@
     duration_s: float = 60.0,
     plot: Path | None = None,
 ) -> None:
-    """Compare ways of keeping a server's limit on the same demand and seeds.
+    """Compare strategies for a server's rate limit on the same demand and seeds.
 
     Parameters
     ----------
     ways
-        Of ``permits``, ``equal`` and ``feedback``; all by default.
+        Strategies: ``permits``, ``equal`` and ``feedback``; all by default.
     nodes
         Numbers of nodes.
     limit_per_s
-        Limits, in requests a second.
+        Limits in requests per second.
     skew
-        Parts of the demand that come to one node.
+        Fractions of the demand that all go to one node.
     seeds
-        Seeds of each trial.
+        Number of seeds of each trial.
     duration_s
         Virtual seconds of each trial.
     plot
-        Where a picture of the last trials goes.
+        Output file of a plot of the last trials.
     """
-    from ._limit_report import HEAD, limit_row, plot_limit  # noqa: PLC0415
+    from ._limit_report import LIMIT_TABLE_HEAD, limit_table_row, plot_limit  # noqa: PLC0415
 
-    print(HEAD)
+    print(LIMIT_TABLE_HEAD)
     cases = itertools.product(
         nodes or [8, 68], limit_per_s or [1.1, 6.0], skew or [0.0, 0.9]
     )
-    firsts: list[LimitPlay] = []
+    first_runs: list[LimitPlay] = []
     for number, per_s, part in cases:
-        firsts = []
-        for way in ways or list(WAYS):
+        first_runs = []
+        for way in ways or list(STRATEGIES):
             trial = LimitTrial(
                 way, number, per_s, skew=part, duration_s=duration_s, seed=0
             )
-            plays = [
+            runs = [
                 play_limit(attrs.evolve(trial, seed=seed))
                 for seed in range(1, seeds + 1)
             ]
-            print(limit_row(plays), flush=True)
-            firsts.append(plays[0])
+            print(limit_table_row(runs), flush=True)
+            first_runs.append(runs[0])
     if plot is not None:
-        plot_limit(firsts, plot)
+        plot_limit(first_runs, plot)
 
 
 @app.command
@@ -241,29 +242,30 @@
     seeds: int = 3,
     duration_s: float = 20.0,
 ) -> None:
-    """Compare returns of the store from copies with outages of the same length.
+    """Compare outages of the store with and without a restore from a backup.
 
     Parameters
     ----------
     nodes
         Numbers of nodes.
     copy_s
-        How long before its absence the store was copied; 0 where nothing is lost.
+        Ages of the backup at the start of the outage, in seconds; 0 if no data is
+        lost.
     away_s
-        How long the store is away.
+        Length of the outage in seconds.
     seeds
-        Seeds of each trial.
+        Number of seeds of each trial.
     duration_s
         Virtual seconds under load.
     """
-    print(DRILL_HEAD)
+    print(OUTAGE_TABLE_HEAD)
     for number, age_s in itertools.product(nodes or [7], copy_s or [0.0, 3.0]):
-        drill = StoreDrill(DRILL_AT_S, away_s, age_s)
-        plays = [
-            run_experiment(_sized(number, seed, duration_s=duration_s, drill=drill))
+        outage = StoreOutage(OUTAGE_AT_S, away_s, age_s)
+        runs = [
+            run_experiment(_sized(number, seed, duration_s=duration_s, outage=outage))
             for seed in range(1, seeds + 1)
         ]
-        print(drill_row(number, age_s, plays), flush=True)
+        print(outage_row(number, age_s, runs), flush=True)
 
 
 def main() -> None:
