--- a/standins/src/fordhatch_lab/_limit_report.py
+++ b/standins/src/fordhatch_lab/_limit_report.py
@@ -25,12 +25,12 @@
 )
 
 
-def limit_table_row(runs: Sequence[LimitPlay]) -> str:
+def limit_row(runs: Sequence[LimitPlay]) -> str:
     """Return the table row of one trial, with 95 % intervals over its seeds."""
     trial = runs[0].trial
-    worst = max(play.worst() for play in runs)
-    use = interval([play.use() for play in runs])
-    messages = interval([play.messages_per_s() for play in runs])
+    worst = max(run.worst() for run in runs)
+    use = interval([run.use() for run in runs])
+    messages = interval([run.messages_per_s() for run in runs])
     return (
         f"| {trial.way} | {trial.nodes} | {trial.limit_per_s:g} | {trial.skew:g} "
         f"| {worst} of {allowed(trial.limit_per_s):.1f} | {use} | {messages} |"
@@ -49,15 +49,15 @@
 def plot_limit(runs: Sequence[LimitPlay], path: Path) -> None:
     """Plot the requests in the last window at each second, and the allowed number."""
     figure, axis = plt.subplots(figsize=(11, 4.5), layout="constrained")
-    for play in runs:
-        seconds = Counter(int(at_s) for at_s in play.sent_s)
-        end_s = int(play.trial.duration_s)
+    for run in runs:
+        seconds = Counter(int(at_s) for at_s in run.sent_s)
+        end_s = int(run.trial.duration_s)
         window = int(WINDOW_S)
         counts = [
             sum(seconds[s] for s in range(at - window + 1, at + 1))
             for at in range(end_s)
         ]
-        axis.plot(range(end_s), counts, label=play.trial.way)
+        axis.plot(range(end_s), counts, label=run.trial.way)
     limit_per_s = runs[0].trial.limit_per_s
     axis.axhline(allowed(limit_per_s), color="black", linestyle="--", label="allowed")
     axis.axhline(WINDOW_S * limit_per_s, color="grey", label="the limit itself")
--- a/standins/src/fordhatch_lab/_limit_trial.py
+++ b/standins/src/fordhatch_lab/_limit_trial.py
@@ -53,32 +53,32 @@
     @classmethod
     def create(cls, trial: LimitTrial) -> LimitPlay:
         """Create the nodes; requires a running event loop."""
-        play = cls(trial, TrialNodes(trial.limit_per_s))
+        run = cls(trial, TrialNodes(trial.limit_per_s))
         for index in range(trial.nodes):
-            play.add(f"n{index}")
-        return play
+            run.add(f"n{index}")
+        return run
 
     def add(self, name: str) -> LimitStrategy:
         """Add a node that knows the limit."""
         timer = Timer.from_seed(f"{self.trial.seed}/{name}")
-        way = STRATEGIES[self.trial.way](self.nodes, name, timer)
-        self.nodes.ways[name] = way
-        return way
+        strategy = STRATEGIES[self.trial.way](self.nodes, name, timer)
+        self.nodes.ways[name] = strategy
+        return strategy
 
     async def want(self, name: str, per_s: float, for_s: float) -> None:
         """Generate callers' requests at a node; send those that its strategy allows."""
         rng = random.Random(f"{self.trial.seed}/{name}/callers")
         loop = asyncio.get_running_loop()
         until_s = loop.time() + for_s
-        way = self.nodes.ways[name]
+        strategy = self.nodes.ways[name]
         while True:
             await asyncio.sleep(rng.expovariate(per_s))
             if loop.time() > until_s:
                 return
-            if name not in self.nodes.lost and await way.try_acquire():
+            if name not in self.nodes.lost and await strategy.try_acquire():
                 await asyncio.sleep(LINK_LATENCY_S)
                 self._arrive(name, loop.time())
-                way.record_answer(
+                strategy.record_answer(
                     is_refused=self._recent_count() > self._refusal_threshold()
                 )
 
@@ -113,12 +113,12 @@
 
     def worst(self) -> int:
         """Return the largest number of requests in any window."""
-        first = most = 0
+        first = largest = 0
         for last, at_s in enumerate(self.sent_s):
             while self.sent_s[first] <= at_s - WINDOW_S:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            largest = max(largest, last - first + 1)
+        return largest
 
     def use(self) -> float:
         """Return the used fraction of the limit."""
@@ -132,9 +132,9 @@
 def play_limit(trial: LimitTrial) -> LimitPlay:
     """Run a trial in virtual time; equal settings give the same requests."""
 
-    async def play() -> LimitPlay:
-        found = LimitPlay.create(trial)
-        await found.all_want()
-        return found
+    async def run() -> LimitPlay:
+        trial_run = LimitPlay.create(trial)
+        await trial_run.all_want()
+        return trial_run
 
-    return run_in_virtual_time(play())
+    return run_in_virtual_time(run())
--- a/standins/src/fordhatch_lab/_limit_ways.py
+++ b/standins/src/fordhatch_lab/_limit_ways.py
@@ -114,7 +114,7 @@
     def create(cls, nodes: TrialNodes, name: str, timer: Timer) -> PermitStrategy:
         """Create the strategy of a node that knows the limit."""
 
-        async def ask(to: str, limit: ServerLimit) -> Permit | None:
+        async def request_permit(to: str, limit: ServerLimit) -> Permit | None:
             if not await nodes.reach(name, to):
                 return None
             return nodes.ways[to].permits.asked_by(name, limit)
@@ -122,7 +122,7 @@
         pressure = PressureBook(timer, BackendDirectory(timer))
         issuer = PermitIssuer(name, timer.rng)
         names: Callable[[], Collection[str]] = lambda: nodes.ways  # noqa: E731
-        permits = Permits(name, timer, pressure, issuer, names, ask)
+        permits = Permits(name, timer, pressure, issuer, names, request_permit)
         pressure.heard(SERVER, Backpressure(limit_per_s=nodes.limit_per_s))
         return cls(permits)
 
--- a/standins/src/fordhatch_lab/_measures.py
+++ b/standins/src/fordhatch_lab/_measures.py
@@ -71,13 +71,13 @@
         windows: dict[int, list[Outcome]] = {}
         for outcome in self.outcomes:
             windows.setdefault(int(outcome.asked_s / window_s), []).append(outcome)
-        least = max(len(self.outcomes) / 40, 5)
-        return [w for w in windows.values() if len(w) >= least]
+        min_count = max(len(self.outcomes) / 40, 5)
+        return [w for w in windows.values() if len(w) >= min_count]
 
     def served(self) -> float:
         """Return the fraction of requests with a complete answer."""
-        whole = sum(o.is_whole for o in self.outcomes)
-        return whole / len(self.outcomes) if self.outcomes else 0.0
+        complete = sum(o.is_whole for o in self.outcomes)
+        return complete / len(self.outcomes) if self.outcomes else 0.0
 
     def first_event_s(self, share: float) -> float:
         """Return the ``share`` quantile of the time to the first event."""
--- a/standins/src/fordhatch_lab/_outage_run.py
+++ b/standins/src/fordhatch_lab/_outage_run.py
@@ -41,13 +41,13 @@
 
 async def run_outage(site: LabSite, outage: StoreOutage) -> OutageMeasures:
     """Simulate one outage of the store; return its measurements."""
-    await asyncio.sleep(outage.at_s - outage.backup_age_s)
+    await asyncio.sleep(outage.at_s - outage.copy_age_s)
     copy = site.store.copy()
     _configure(site, 2)
-    await asyncio.sleep(outage.backup_age_s)
+    await asyncio.sleep(outage.copy_age_s)
     site.store.faults.is_down = True
     await asyncio.sleep(outage.duration_s)
-    if outage.backup_age_s:
+    if outage.copy_age_s:
         lost = site.store.restore(copy)
         site.store.write_again(lost, REWRITE_S, site.rng)
     site.store.faults.is_down = False
@@ -80,15 +80,15 @@
 )
 
 
-def outage_row(nodes: int, backup_age_s: float, runs: Sequence[object]) -> str:
+def outage_row(nodes: int, copy_age_s: float, runs: Sequence[object]) -> str:
     """Return the table row of one outage, for runs with several seeds."""
-    agreed = [d.converged_s for p in runs for d in p.outages]
-    worth = statistics.mean(p.worth() for p in runs)
-    worst = statistics.mean(p.worst_window() for p in runs)
-    calls = statistics.mean(d.calls for p in runs for d in p.outages)
-    violations = sum(len(p.violations) for p in runs)
+    agreed = [o.converged_s for r in runs for o in r.outages]
+    worth = statistics.mean(r.worth() for r in runs)
+    worst = statistics.mean(r.worst_window() for r in runs)
+    calls = statistics.mean(o.calls for r in runs for o in r.outages)
+    violations = sum(len(r.violations) for r in runs)
     times = f"{statistics.median(agreed):.2f}, {max(agreed):.2f}"
     return (
-        f"| {nodes} | {backup_age_s:g} | {len(runs)} | {worth:.4f} | {worst:.3f} "
+        f"| {nodes} | {copy_age_s:g} | {len(runs)} | {worth:.4f} | {worst:.3f} "
         f"| {calls:.0f} | {times} | {violations} |"
     )
--- a/standins/src/fordhatch_lab/main.py
+++ b/standins/src/fordhatch_lab/main.py
@@ -210,7 +210,7 @@
     plot
         Output file of a plot of the last trials.
     """
-    from ._limit_report import LIMIT_TABLE_HEAD, limit_table_row, plot_limit  # noqa: PLC0415
+    from ._limit_report import LIMIT_TABLE_HEAD, limit_row, plot_limit  # noqa: PLC0415
 
     print(LIMIT_TABLE_HEAD)
     cases = itertools.product(
@@ -227,7 +227,7 @@
                 play_limit(attrs.evolve(trial, seed=seed))
                 for seed in range(1, seeds + 1)
             ]
-            print(limit_table_row(runs), flush=True)
+            print(limit_row(runs), flush=True)
             first_runs.append(runs[0])
     if plot is not None:
         plot_limit(first_runs, plot)
