--- a/bench/days.py
+++ b/bench/days.py
@@ -1,7 +1,8 @@
-"""Plays days of one's own on the users' bench: every kind of trouble, mixed at random.
+"""Runs generated days on the users' bench, with a random mix of all kinds of faults.
 
-The bench's program and the site file are arguments; the days are written into a folder
-of the caller's choice. Prints a line for each day and a tally of the rules broken.
+A day is a scenario of the bench's program. The program and the site file are arguments;
+the days are written into a given folder. Prints a line for each day and the number of
+violations by rule.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 app = App(name="days", help="Play days of one's own on the users' bench.")
 
-TROUBLES = [
+FAULTS = [
     'kind = "burst", x = 1.7',
     'kind = "hot_key", share = 0.4',
     'kind = "retry_abuse", share = 0.3, x = 3.0',
@@ -79,9 +80,9 @@
     'kind = "applied_late", x = 0.5, how = "all"',
     'kind = "reset_conns", share = 0.5, x = 0.5',
 ]
-"""Unplanned troubles, without their time."""
+"""Faults, without their time."""
 
-PLANS = [
+PLANNED_CHANGES = [
     'kind = "release", share = 0.5, gap_s = 0.8',
     'kind = "scale_out", share = 0.2, gap_s = 1.0',
     'kind = "scale_in", share = 0.15',
@@ -101,17 +102,18 @@
     'kind = "replace_with_reuse", share = 0.15',
     'kind = "replace_with_reuse", share = 0.15, how = "dark"',
 ]
-"""Planned work, without its time."""
+"""Planned changes, without their time."""
 
-CLOSINGS = ["power_off_all", "kill_all", ""]
+CLOSING_EVENTS = ["power_off_all", "kill_all", ""]
+"""Events that end a day; the empty one stands for none."""
 
-ONE_DAY_LIMIT_S = 400.0
-"""A day takes some ten seconds; one that takes longer than this is given up."""
+DAY_TIMEOUT_S = 400.0
+"""Time after which a day is aborted; a normal one takes some ten seconds."""
 
 
 @attrs.frozen
 class Outcome:
-    """What came of one day."""
+    """Result of one day: its result line and the violated rules."""
 
     name: str
     line: str
@@ -119,16 +121,16 @@
 
 
 def write_day(template: str, folder: Path, seed: int) -> Path:
-    """Write a day with a few troubles drawn by its seed; returns its path."""
+    """Write a day with faults and changes drawn by the seed; return its path."""
     rng = random.Random(seed)
-    faults = [_entry(rng, t) for t in rng.sample(TROUBLES, rng.randint(2, 5))]
-    plans = [_entry(rng, p) for p in rng.sample(PLANS, rng.randint(1, 3))]
-    closing = rng.choice(CLOSINGS)
+    faults = [_entry(rng, t) for t in rng.sample(FAULTS, rng.randint(2, 5))]
+    plans = [_entry(rng, p) for p in rng.sample(PLANNED_CHANGES, rng.randint(1, 3))]
+    closing = rng.choice(CLOSING_EVENTS)
     name = f"own-{seed}"
     text = re.sub(r'name = "[^"]*"', f'name = "{name}"', template, count=1)
     text = re.sub(r"seed = \d+", f"seed = {seed}", text, count=1)
     begin, end = text.index("plan = ["), text.index("traffic = [")
-    lists = f"plan = [\n{_lines(plans)}]\nfaults = [\n{_lines(faults)}]\n"
+    lists = f"plan = [\n{_join(plans)}]\nfaults = [\n{_join(faults)}]\n"
     if closing:
         lists = f'closing = {{ kind = "{closing}", down_s = 1.0 }}\n' + lists
     path = folder / f"{name}.toml"
@@ -136,24 +138,24 @@
     return path
 
 
-def _entry(rng: random.Random, trouble: str) -> str:
+def _entry(rng: random.Random, event: str) -> str:
     at_s, for_s = rng.uniform(0.5, 28.0), rng.uniform(2.0, 9.0)
-    return f"  {{ at = {at_s:.1f}, for_s = {for_s:.1f}, {trouble} }},\n"
+    return f"  {{ at = {at_s:.1f}, for_s = {for_s:.1f}, {event} }},\n"
 
 
-def _lines(entries: list[str]) -> str:
+def _join(entries: list[str]) -> str:
     return "".join(entries)
 
 
-def play(program: Path, site: Path, day: Path) -> Outcome:
-    """Play one day and read its outcome."""
+def run_day(program: Path, site: Path, day: Path) -> Outcome:
+    """Run one day and return its outcome; the report goes next to the day's file."""
     command = [program, "run", site, day, "--why", f"a day of our own, {day.stem}"]
     try:
         done = subprocess.run(
             command,
             capture_output=True,
             text=True,
-            timeout=ONE_DAY_LIMIT_S,
+            timeout=DAY_TIMEOUT_S,
             check=False,
         )
     except subprocess.TimeoutExpired:
@@ -204,7 +206,7 @@
     paths = [write_day(template, folder, seed) for seed in seeds]
     tally: Counter[str] = Counter()
     with ThreadPoolExecutor(jobs) as pool:
-        for outcome in pool.map(lambda p: play(program, site, p), paths):
+        for outcome in pool.map(lambda p: run_day(program, site, p), paths):
             tally.update(outcome.rules)
             print(outcome.line, " ".join(outcome.rules), flush=True)
     print(f"{days} days; broken: {dict(tally) or 'none'}")
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,8 @@
-"""The main job on one machine: real processes, a lost member, a repair.
+"""Demonstration on one machine: real processes, a member failure and the repair.
 
-Starts the stand-ins and three nodes, applies an example file, sends real requests,
-kills a member of a group, and ends by itself with status 0 if every answer was whole.
+Starts the stand-ins and three nodes, applies an example file, sends requests and kills
+a member of a group. Exits with status 0 if all answers are complete and correct, the
+release ran once and the stand-ins detected no violation.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import sys
 import time
 
-from fleet import API_KEY, BIN, OPERATOR_TOKEN, Fleet, NodeChild, declared_state
+from fleet import API_KEY, BIN, OPERATOR_TOKEN, Fleet, NodeProcess, declared_state
 
 from fordhatch_standins import answer_text
 
@@ -20,13 +21,13 @@
 STARTED_S = time.monotonic()
 
 
-def say(text: str) -> None:
-    """Print one step with the time since the start."""
+def print_step(text: str) -> None:
+    """Print a step with the time since the start."""
     print(f"[{time.monotonic() - STARTED_S:5.1f} s] {text}", flush=True)
 
 
 def chat_body(prompt: str, *, stream: bool) -> dict[str, object]:
-    """Return the body of a chat completion."""
+    """Return the request body of a chat completion."""
     return {
         "model": "estimates",
         "messages": [{"role": "user", "content": prompt}],
@@ -36,20 +37,20 @@
 
 
 def expected(prompt: str) -> str:
-    """Return the one right answer to a prompt."""
+    """Return the only correct answer to a prompt."""
     body = json.dumps(chat_body(prompt, stream=False)).encode()
     return "".join(answer_text(body, index) for index in range(TOKENS // 5))
 
 
-async def chat(fleet: Fleet, node: NodeChild, prompt: str, *, stream: bool) -> str:
-    """Send a chat completion and return its text; empty where it is not whole."""
+async def chat(fleet: Fleet, node: NodeProcess, prompt: str, *, stream: bool) -> str:
+    """Send a chat completion and return its text, empty if it is incomplete."""
     headers = {"Authorization": f"Bearer {API_KEY}"}
     url = f"{node.url}/v1/chat/completions"
     body = chat_body(prompt, stream=stream)
     async with fleet.session.post(url, json=body, headers=headers) as reply:
         content = await reply.text()
     if not reply.ok:
-        say(f"{reply.status}: {content}")
+        print_step(f"{reply.status}: {content}")
         return ""
     if not stream:
         return json.loads(content)["choices"][0]["message"]["content"]
@@ -64,8 +65,11 @@
     return "".join(d.get("content", "") for d in deltas)
 
 
-async def ask_all(fleet: Fleet, label: str, count: int = 12) -> int:
-    """Ask through every node, streamed and not; return how many were whole."""
+async def chat_through_all_nodes(fleet: Fleet, label: str, count: int = 12) -> int:
+    """Send prompts through all nodes; return the number of correct answers.
+
+    Every second answer is streamed.
+    """
     prompts = [f"{label} {index}: dented corner post" for index in range(count)]
     answers = await asyncio.gather(
         *(
@@ -76,9 +80,13 @@
     return sum(a == expected(p) for a, p in zip(answers, prompts, strict=True))
 
 
-async def command(node: NodeChild, *words: str) -> None:
-    """Run the operators' command line against a node and show what it prints."""
-    say(f"$ fordhatch {' '.join(words)}")
+async def run_command(node: NodeProcess, *words: str) -> None:
+    """Run the operators' command line against a node.
+
+    Raises:
+        RuntimeError: If the command fails.
+    """
+    print_step(f"$ fordhatch {' '.join(words)}")
     env = {
         **os.environ,
         "FORDHATCH_URL": node.operators_url,
@@ -90,66 +98,69 @@
         raise RuntimeError(f"fordhatch {words[0]} failed")
 
 
-async def release_twice(fleet: Fleet) -> int:
-    """Send a release twice with one key; return how often it ran."""
+async def send_release_twice(fleet: Fleet) -> int:
+    """Send a release twice with the same key; return how often it ran."""
     headers = {"Authorization": f"Bearer {API_KEY}", "Idempotency-Key": "gate-17"}
     url = f"{fleet.nodes[1].url}/services/yard/releases/17"
     for _ in range(2):
         async with fleet.session.post(url, json={"box": 17}, headers=headers) as reply:
             await reply.read()
             replayed = reply.headers.get("X-Replayed", "false")
-            say(f"release: status {reply.status}, replayed {replayed}")
+            print_step(f"release: status {reply.status}, replayed {replayed}")
     return sum((await fleet.counts())["contents"].values())
 
 
-async def lose_a_member(fleet: Fleet) -> int:
-    """Kill a member of a group and ask meanwhile; return how many were whole."""
+async def kill_member(fleet: Fleet) -> int:
+    """Kill a group member while sending prompts; return the correct answers.
+
+    Waits until the group is replaced.
+    """
     before = (await fleet.counts())["groups"]
     name, members = next(iter(before.items()))
-    say(f"killing {members[2]}, a member of {name}")
+    print_step(f"killing {members[2]}, a member of {name}")
     await fleet.act("kill", backend=members[2])
-    whole = await ask_all(fleet, "while one group is broken")
-    lost_s = time.monotonic()
+    complete = await chat_through_all_nodes(fleet, "while one group is broken")
+    killed_s = time.monotonic()
     async with asyncio.timeout(30):
         while True:
             groups = (await fleet.counts())["groups"]
             if len(groups) == len(before) and name not in groups:
                 break
             await asyncio.sleep(0.05)
-    say(f"two groups serve again, {time.monotonic() - lost_s:.1f} s on")
-    return whole
+    print_step(f"two groups serve again, {time.monotonic() - killed_s:.1f} s on")
+    return complete
 
 
 async def main() -> int:
-    """Run the demonstration; returns the exit status."""
+    """Run the demonstration and return the exit status."""
     async with Fleet.create() as fleet:
-        say(f"logs are in {fleet.directory}")
+        print_step(f"logs are in {fleet.directory}")
         await fleet.start_standins(engines=9)
         for index in range(3):
             await fleet.start_node(fleet.settings(index))
-        say("3 nodes, 9 engines, 1 plain service and the store are up")
+        print_step("3 nodes, 9 engines, 1 plain service and the store are up")
         path = fleet.directory / "declared.json"
         path.write_text(json.dumps(declared_state(), indent=2))
         first, _, last = fleet.nodes
-        await command(first, "validate", str(path))
-        await command(first, "apply", str(path))
+        await run_command(first, "validate", str(path))
+        await run_command(first, "apply", str(path))
         await fleet.until_converged(last, 3)
-        await command(last, "get", "groups")
-        whole = await ask_all(fleet, "survey")
-        say(f"{whole} of 12 chat completions whole, through 3 nodes")
-        ran = await release_twice(fleet)
-        say(f"the yard application ran it {ran} time")
-        during = await lose_a_member(fleet)
-        say(f"{during} of 12 whole while one group was broken")
-        after = await ask_all(fleet, "after the repair")
-        say(f"{after} of 12 whole after the repair")
-        await command(first, "audit")
-        await command(first, "status")
+        await run_command(last, "get", "groups")
+        complete = await chat_through_all_nodes(fleet, "survey")
+        print_step(f"{complete} of 12 chat completions whole, through 3 nodes")
+        ran = await send_release_twice(fleet)
+        print_step(f"the yard application ran it {ran} time")
+        during = await kill_member(fleet)
+        print_step(f"{during} of 12 whole while one group was broken")
+        after = await chat_through_all_nodes(fleet, "after the repair")
+        print_step(f"{after} of 12 whole after the repair")
+        await run_command(first, "audit")
+        await run_command(first, "status")
         violations = (await fleet.counts())["violations"]
-    if (whole, during, after, ran, violations) != (12, 12, 12, 1, []):
-        say(f"FAILED: {violations}")
+    if (complete, during, after, ran, violations) != (12, 12, 12, 1, []):
+        print_step(f"FAILED: {violations}")
         return 1
-    say("done, nothing is left running")
+    print_step("done, nothing is left running")
     return 0
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Separate processes for the demonstration, the soak and tests: stand-ins and nodes."""
+"""Separate processes of stand-ins and nodes for the demo, the soak test and tests."""
 
 from __future__ import annotations
 
@@ -22,20 +22,24 @@
 OPERATOR_TOKEN = "operator-token-for-tests-only"
 API_KEY = "savannah-depot-example-key"
 ZONES = ("mobile-yard", "savannah-yard", "houston-yard")
-READY_LIMIT_S = 30.0
+READY_TIMEOUT_S = 30.0
 EXAMPLE = Path(__file__).parent.parent / "examples" / "pruitt.json"
 
 FIRST_PORT, LAST_PORT = 10_000, 32_000
-"""Below the ports that the kernel gives to outgoing connections, one of which could
-otherwise take a port between the look and the use."""
+"""Range below the kernel's ephemeral ports. An outgoing connection could otherwise
+occupy a port between the check and its use."""
 
 _ports = itertools.cycle(range(FIRST_PORT, LAST_PORT))
 _start = secrets.randbelow(LAST_PORT - FIRST_PORT)
 next(itertools.islice(_ports, _start, _start), None)
 
 
-def free_range(count: int) -> int:
-    """Return the first of ``count`` ports in a row that are free now."""
+def find_free_ports(count: int) -> int:
+    """Return the first of ``count`` consecutive free ports.
+
+    Raises:
+        RuntimeError: If there is no such range.
+    """
     first, length = 0, 0
     for port in itertools.islice(_ports, LAST_PORT - FIRST_PORT):
         if not _is_free(port) or port == FIRST_PORT:
@@ -49,16 +53,16 @@
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as item:
+    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
         try:
-            item.bind(("127.0.0.1", port))
+            probe.bind(("127.0.0.1", port))
         except OSError:
             return False
     return True
 
 
 def declared_state(groups: int = 2) -> dict[str, Any]:
-    """Return the example file with a few quick groups."""
+    """Return the example file with a few groups whose model loads fast."""
     document = json.loads(EXAMPLE.read_text())
     document["model_services"][0]["groups"] = groups
     document["accelerators"][0]["models"][0].update({"load_s": 0.5, "warm_s": 0.2})
@@ -66,22 +70,22 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Child:
-    """One process that was started here."""
+class ChildProcess:
+    """A child process with its name and command."""
 
     name: str
     command: list[str]
     process: asyncio.subprocess.Process
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, by the process's own id."""
+        """Send a signal to the process if it is running."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
 
 @attrs.define(eq=False, repr=False)
-class NodeChild(Child):
-    """An entry node's process."""
+class NodeProcess(ChildProcess):
+    """Process of a node, with its URLs for callers and operators."""
 
     url: str = ""
     operators_url: str = ""
@@ -89,20 +93,20 @@
 
 @attrs.define(eq=False, repr=False)
 class Fleet:
-    """The stand-ins and some nodes as separate processes."""
+    """Stand-ins and nodes as separate processes."""
 
     directory: Path
     session: aiohttp.ClientSession | None = None
-    nodes: list[NodeChild] = attrs.field(factory=list)
+    nodes: list[NodeProcess] = attrs.field(factory=list)
     control_url: str = ""
     store_port: int = 0
     spare_port: int = 0
-    """Ports for engines that are added later follow from here."""
+    """First of the ports for engines that are added later."""
     _spawned: list[asyncio.subprocess.Process] = attrs.field(factory=list)
 
     @classmethod
     def create(cls) -> Fleet:
-        """Return an empty fleet whose logs go to a folder of its own."""
+        """Return an empty fleet that logs to a new temporary folder."""
         return cls(Path(tempfile.mkdtemp(prefix="fordhatch-")))
 
     async def __aenter__(self) -> Fleet:
@@ -119,7 +123,7 @@
         await self.session.close()
 
     async def spawn(self, name: str, command: list[str]) -> asyncio.subprocess.Process:
-        """Start a process; it is ended with the fleet at the latest."""
+        """Start a process, which is killed when the fleet closes."""
         with (self.directory / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 *command, stdout=log, stderr=log
@@ -128,8 +132,13 @@
         return process
 
     async def start_standins(self, *, engines: int = 9, spare: int = 8) -> None:
-        """Start the store, engines of one domain and a plain service."""
-        first = free_range(engines + spare + 3)
+        """Start the store, engines of one fabric domain and a plain service.
+
+        Args:
+            engines: Number of engines.
+            spare: Number of ports to reserve for engines that are added later.
+        """
+        first = find_free_ports(engines + spare + 3)
         self.store_port, control = first, first + 1
         self.spare_port = first + 3 + engines
         command = [
@@ -141,13 +150,13 @@
         ]
         await self.spawn("standins", command)
         self.control_url = f"http://127.0.0.1:{control}"
-        await self.until_answers(f"{self.control_url}/counts")
+        await self.wait_until_up(f"{self.control_url}/counts")
 
     def settings(
         self, index: int, store_port: int | None = None, **timing: float
     ) -> dict[str, Any]:
-        """Return the settings of a node with ports of its own."""
-        first = free_range(3)
+        """Return the settings of a node with newly allocated ports."""
+        first = find_free_ports(3)
         addresses = {
             name: {"host": "127.0.0.1", "port": first + offset}
             for offset, name in enumerate(("callers", "operators", "peers"))
@@ -162,13 +171,13 @@
             "timing": timing,
         }
 
-    async def start_node(self, settings: dict[str, Any]) -> NodeChild:
-        """Start a node and wait until it answers."""
+    async def start_node(self, settings: dict[str, Any]) -> NodeProcess:
+        """Start a node and wait until it serves its metrics."""
         name = settings["node_name"]
         path = self.directory / f"{name}.json"
         path.write_text(json.dumps(settings))
         command = [str(BIN / "fordhatchd"), str(path)]
-        node = NodeChild(
+        node = NodeProcess(
             name,
             command,
             await self.spawn(name, command),
@@ -176,16 +185,16 @@
             f"http://127.0.0.1:{settings['operators']['port']}",
         )
         self.nodes.append(node)
-        await self.until_answers(f"{node.operators_url}/metrics")
+        await self.wait_until_up(f"{node.operators_url}/metrics")
         return node
 
-    async def restart(self, node: NodeChild) -> None:
-        """Start a node that has ended again."""
+    async def restart(self, node: NodeProcess) -> None:
+        """Start the process of a terminated node again."""
         node.process = await self.spawn(node.name, node.command)
 
-    async def until_answers(self, url: str) -> None:
-        """Wait until a URL answers with success."""
-        async with asyncio.timeout(READY_LIMIT_S):
+    async def wait_until_up(self, url: str) -> None:
+        """Wait until a URL answers with a success status."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 try:
                     async with self.session.get(url) as reply:
@@ -196,27 +205,31 @@
                 await asyncio.sleep(0.05)
 
     async def act(self, do: str, **fields: Any) -> None:
-        """Bring about a fault at the stand-ins."""
+        """Send a control command to the stand-ins, such as to start or end a fault."""
         url = f"{self.control_url}/act"
         async with self.session.post(url, json={"do": do, **fields}) as reply:
             reply.raise_for_status()
 
     async def counts(self) -> dict[str, Any]:
-        """Return what ran at the stand-ins, and what must never happen there."""
+        """Return the counts of the stand-ins and the violations that they detected."""
         async with self.session.get(f"{self.control_url}/counts") as reply:
             return await reply.json()
 
-    async def read(self, node: NodeChild, path: str) -> dict[str, Any]:
-        """Read something back from a node as an operator."""
+    async def read(self, node: NodeProcess, path: str) -> dict[str, Any]:
+        """Return the answer of a node to an operator's GET request."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = node.operators_url + path
         async with self.session.get(url, headers=headers) as reply:
             return await reply.json()
 
     async def apply(
-        self, node: NodeChild, document: dict[str, Any], base: int, apply_id: str
+        self, node: NodeProcess, document: dict[str, Any], base: int, apply_id: str
     ) -> tuple[int, dict[str, Any]]:
-        """Apply an operators' file through a node."""
+        """Apply a configuration file through a node.
+
+        Returns:
+            The status and the body of the answer.
+        """
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         query = {"base_revision": str(base), "apply_id": apply_id}
         url = f"{node.operators_url}/config"
@@ -225,15 +238,20 @@
         ) as reply:
             return reply.status, await reply.json()
 
-    async def until_converged(self, node: NodeChild, nodes: int) -> None:
-        """Wait until the declared state is in force everywhere and served.
+    async def until_converged(self, node: NodeProcess, nodes: int) -> None:
+        """Wait until the declared state is active on all nodes and served.
+
+        Args:
+            node: Node to query.
+            nodes: Number of nodes on which the state must be active.
 
         Raises:
-            TimeoutError: If that never happens; it says what was found last.
+            TimeoutError: If the state does not converge in time; contains the last
+                status.
         """
         found: dict[str, Any] = {}
         try:
-            async with asyncio.timeout(READY_LIMIT_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while True:
                     found = await self.read(node, "/status")
                     if found.get("converged") and found["nodes_in_force"] >= nodes:
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,7 +1,8 @@
-"""Takes each guard out, in a copy, and shows that its test turns red.
+"""Removes each guard in a copy of the sources and checks that its test fails.
 
-A guard whose removal leaves its test green is not proved by it; the run then fails.
-The results go into ``bench/results/guards.md``, which ``docs/PROOFS.md`` cites.
+A guard is code that upholds a guarantee. If its test passes without the guard, the test
+does not prove the guard and the run fails. The results go into
+``bench/results/guards.md``, which ``docs/PROOFS.md`` cites.
 """
 
 from __future__ import annotations
@@ -23,11 +24,15 @@
 from store_guards import STORE_GUARDS
 
 ROOT = Path(__file__).parent.parent
-AT_ONCE = 4
+MAX_PARALLEL = 4
 
 
 def check(guard: Guard) -> str:
-    """Take a guard out and run its test; return what came of it."""
+    """Remove a guard in a copy of the sources and run its test.
+
+    Returns:
+        ``red`` if the test failed, otherwise the reason why the guard is not proved.
+    """
     package, _, name = guard.module.partition("/")
     folder = "platform" if package == "adapter" else f"packages/{package}"
     source = ROOT / folder / "src"
@@ -53,11 +58,12 @@
 
 
 def main() -> None:
-    """Check every guard and write the table; with a word, only guards that have it.
+    """Check all guards and write the table of results.
 
-    Only a run of all of them writes the table.
+    An argument restricts the run to guards that contain this text in their promise or
+    module; the table is then not written.
     """
-    word = sys.argv[1] if len(sys.argv) > 1 else ""
+    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
     guards = [
         g
         for g in [
@@ -68,9 +74,9 @@
             *PRESSURE_GUARDS,
             *STORE_GUARDS,
         ]
-        if word in f"{g.promise} {g.module}"
+        if wanted in f"{g.promise} {g.module}"
     ]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         outcomes = list(pool.map(check, guards))
     lines = [
         "# Guards taken out",
@@ -85,7 +91,7 @@
         test = guard.test.removeprefix("packages/")
         lines.append(f"| {guard.promise} | {guard.module} | `{test}` | {outcome} |")
         print(f"{outcome:20} {guard.promise}", flush=True)
-    if not word:
+    if not wanted:
         results = ROOT / "bench" / "results"
         results.mkdir(exist_ok=True)
         (results / "guards.md").write_text("\n".join(lines) + "\n")
--- a/bench/loopback_proxy.py
+++ b/bench/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, resets, cuts one way or silences connections."""
+"""Loopback proxy that delays or resets connections, or drops their traffic."""
 
 from __future__ import annotations
 
@@ -6,49 +6,49 @@
 
 import attrs
 
-PIECE_BYTES = 64 * 1024
+READ_LIMIT_BYTES = 64 * 1024
 
 
 @attrs.define(eq=False, repr=False)
 class LoopbackProxy:
-    """Passes connections on to one port, as long as nothing is wrong with the way."""
+    """Forwards connections to one port, subject to the faults that are set."""
 
     target_port: int
     port: int = 0
     delay_s: float = 0.0
-    """Added to every piece, either way."""
-    swallows_requests: bool = False
-    """Nothing gets to the target any more; connections stay open."""
-    swallows_answers: bool = False
-    """Nothing comes back any more; connections stay open."""
+    """Delay of each chunk in both directions, in seconds."""
+    drops_requests: bool = False
+    """Whether traffic to the target is dropped; connections stay open."""
+    drops_answers: bool = False
+    """Whether traffic from the target is dropped; connections stay open."""
     refuses: bool = False
-    """New connections are reset at once."""
+    """Whether new connections are reset at once."""
     _opened: int = 0
-    """Connections that were ever opened."""
+    """Number of connections opened since the start."""
     _silenced: int = 0
-    """The connections that were opened before this number are silent for good."""
+    """Traffic of all connections numbered below this is dropped until they close."""
     _writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
     _server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Listen; returns the port."""
+        """Start to listen and return the port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self.port
 
     def reset_all(self) -> None:
-        """Break every open connection."""
+        """Reset all open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def silence_open(self) -> None:
-        """Let nothing more pass on the connections that are open; new ones work."""
+        """Drop all further traffic of the open connections, but not of new ones."""
         self._silenced = self._opened
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """End the delay, the dropping by direction and the refusal of connections."""
         self.delay_s = 0.0
-        self.swallows_requests = self.swallows_answers = self.refuses = False
+        self.drops_requests = self.drops_answers = self.refuses = False
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -57,26 +57,28 @@
             writer.transport.abort()
             return
         try:
-            back, forth = await asyncio.open_connection("127.0.0.1", self.target_port)
+            target_reader, target_writer = await asyncio.open_connection(
+                "127.0.0.1", self.target_port
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, forth}
+        self._writers |= {writer, target_writer}
         number = self._opened
         self._opened += 1
         try:
             await asyncio.gather(
-                self._pass_on(reader, forth, number, is_request=True),
-                self._pass_on(back, writer, number, is_request=False),
+                self._forward(reader, target_writer, number, is_request=True),
+                self._forward(target_reader, writer, number, is_request=False),
             )
         except OSError:
             pass
         finally:
-            self._writers -= {writer, forth}
+            self._writers -= {writer, target_writer}
             writer.transport.abort()
-            forth.transport.abort()
+            target_writer.transport.abort()
 
-    async def _pass_on(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -84,17 +86,17 @@
         *,
         is_request: bool,
     ) -> None:
-        while piece := await reader.read(PIECE_BYTES):
+        while chunk := await reader.read(READ_LIMIT_BYTES):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            swallows = self.swallows_requests if is_request else self.swallows_answers
-            if not swallows and number >= self._silenced:
-                writer.write(piece)
+            drops = self.drops_requests if is_request else self.drops_answers
+            if not drops and number >= self._silenced:
+                writer.write(chunk)
                 await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
 
     async def close(self) -> None:
-        """Stop listening and break every connection."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self.reset_all()
--- a/bench/scaling.py
+++ b/bench/scaling.py
@@ -1,7 +1,7 @@
-"""What a look, a choice and a step of planning cost as backend servers grow in number.
+"""Processor time of a group choice and a planner step by number of backend servers.
 
-Real nodes before the stand-ins in virtual time; the processor time of single calls is
-measured around them. Prints a row for each size, and the slope against the first one.
+Runs a real node against the stand-ins in virtual time, measures the processor time of
+single calls, and prints a row for each size.
 """
 
 from __future__ import annotations
@@ -25,56 +25,57 @@
     LabModel("m0", 16, 0.5, 1.0, 16.0, 1.6),
     LabModel("m1", 8, 0.5, 0.6, 12.0, 1.1),
 )
-"""Models of the largest deployment that is served today."""
+"""Models of the largest deployment in service."""
 
 WARM_UP_S = 25.0
-"""Groups form and weights are staged in this time."""
+"""Time in which groups form and weights are preloaded into host memory."""
 
-PLAY_S = 6.0
+CHANGE_DURATION_S = 6.0
 CHANGES_PER_S = 20.0
-"""Backend servers that come or go in a second while steps are measured: the design
-size has three members of groups lost a second and as many that come."""
+"""Rate of additions and crashes of backend servers while steps are measured. At the
+design size, three group members crash a second and as many are added."""
 
 CHOICES = 2000
+"""Number of group choices over which the time is averaged."""
 
 
 @attrs.frozen
 class Row:
-    """What was measured at one size."""
+    """Measured times at one size."""
 
     backends: int
     groups: int
     choose_ms: float
     first_layout_ms: float
-    """The longest step while the first groups are laid out."""
+    """Longest planner step during warm-up, while the first groups form."""
     step_ms: float
     step_p99_ms: float
 
 
 @attrs.define
 class StepTimes:
-    """Times of the planner's steps, in milliseconds."""
+    """Times of the planner steps, in milliseconds."""
 
     steps: list[float] = attrs.field(factory=list)
 
-    def watch(self) -> None:
-        """Measure every step of every planner from now on."""
+    def instrument(self) -> None:
+        """Measure all further steps of all planners."""
         step = Planner.step
 
         def measured(planner: Planner) -> None:
-            began = time.perf_counter()
+            started_s = time.perf_counter()
             step(planner)
-            self.steps.append((time.perf_counter() - began) * 1000.0)
+            self.steps.append((time.perf_counter() - started_s) * 1000.0)
 
         Planner.step = measured
 
 
 def measure(backends: int, times: StepTimes) -> Row:
-    """Return the costs at one size."""
+    """Return the measured times for a number of backend servers."""
     times.steps.clear()
     found: list[Row] = []
 
-    async def play() -> None:
+    async def run_site() -> None:
         domains = max(round(backends / PER_DOMAIN), 1)
         per_domain = backends // domains
         experiment = Experiment(
@@ -87,7 +88,7 @@
         first_ms = max(times.steps)
         choose_ms = _choose_ms(node)
         times.steps.clear()
-        await _change(site, PLAY_S)
+        await _change(site, CHANGE_DURATION_S)
         steps = sorted(times.steps)
         found.append(
             Row(
@@ -101,20 +102,20 @@
         )
         await site.close()
 
-    run_in_virtual_time(play())
+    run_in_virtual_time(run_site())
     return found[0]
 
 
 def _choose_ms(node: object) -> float:
     choice = node.path.dispatch.streams.choice
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     for _ in range(CHOICES):
         assert choice.choose("llm", "m1", ()) is not None
-    return (time.perf_counter() - began) * 1000.0 / CHOICES
+    return (time.perf_counter() - started_s) * 1000.0 / CHOICES
 
 
 async def _change(site: LabSite, duration_s: float) -> None:
-    """Have members of groups end, and empty backend servers come, one by one."""
+    """Alternately crash engines and add empty backend servers."""
     fleet = site.backends.fleet
     for index in range(int(duration_s * CHANGES_PER_S)):
         living = [e for e in fleet.engines.values() if not e.is_dead]
@@ -137,7 +138,7 @@
     print("| backend servers | groups | choice ms | first layout ms | step ms | p99 |")
     print("|---|---|---|---|---|---|")
     times = StepTimes()
-    times.watch()
+    times.instrument()
     for size in sizes or SIZES:
         row = measure(size, times)
         print(
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""Real processes under random faults, every promise checked from outside.
+"""Soak test: real processes under random faults, with all guarantees checked.
 
-Nodes reach the store through proxies that delay, reset, silence or cut one way; they
-are killed, paused, stopped and started by signals; engines die, drain, turn slow, ask
-for less and come; the store goes down, falls silent and comes back older. Callers,
-who keep connections until a node is gone, and an operator work all the while.
+Nodes reach the store through proxies that delay, reset or silence connections or drop
+one direction; signals kill, pause, stop and restart nodes; engines crash, drain, slow
+down, limit their load and are added; the store is busy, silent or restored from backup.
+Callers, which keep connections until a node terminates, and an operator send requests.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 import aiohttp
 import attrs
 from cyclopts import App, Parameter
-from fleet import ZONES, Fleet, NodeChild, declared_state
+from fleet import ZONES, Fleet, NodeProcess, declared_state
 from loopback_proxy import LoopbackProxy
 from soak_callers import Callers
 from soak_ledger import Ledger
@@ -27,16 +27,17 @@
 NODES = 4
 ENGINES, SPARE_ENGINES = 10, 12
 CALLERS = 6
-FORCE_LIMIT_S = 8.0
-SETTLE_LIMIT_S = 60.0
-ATTEMPTS, OLDER_SHARE = 3, 0.5
+ACTIVE_LIMIT_S = 8.0
+SETTLE_TIMEOUT_S = 60.0
+APPLY_ATTEMPTS, RESTORE_FRACTION = 3, 0.5
+"""Attempts of an apply; fraction of store outages that end with a restored backup."""
 
 app = App(name="soak", help="Random faults on separate processes.")
 
 
 @attrs.define(eq=False, repr=False)
 class Soak:
-    """One run."""
+    """One run of the soak test with one seed."""
 
     fleet: Fleet
     rng: random.Random
@@ -45,17 +46,17 @@
     revision: int = 0
     is_stopping: bool = False
     loses_all: bool = False
-    """Whether all nodes are killed in outages, and engines check fencing tokens."""
+    """Whether store outages kill all nodes; engines then check fencing tokens."""
     asks_less: bool = False
-    """Whether engines name limits and ask for rest."""
+    """Whether engines report rate limits and request back-off."""
     started_s: float = attrs.field(factory=time.monotonic)
     _busy: set[str] = attrs.field(factory=set)
-    """Nodes on which a fault of their process is under way."""
-    _added: int = 0
-    _store_is_well: bool = True
+    """Names of nodes with a process fault in progress."""
+    _spares_used: int = 0
+    _is_store_healthy: bool = True
 
     async def start(self) -> None:
-        """Start every process and wait until all serves."""
+        """Start all processes and wait until all nodes serve."""
         await self.fleet.start_standins(engines=ENGINES, spare=SPARE_ENGINES)
         for index in range(NODES):
             proxy = LoopbackProxy(self.fleet.store_port)
@@ -66,15 +67,13 @@
         await self._apply()
         await self.fleet.until_converged(self.fleet.nodes[0], NODES)
 
-    def _node(self) -> NodeChild:
-        """Return a node as a balancer would: one that is not known to be gone."""
-        able = [n for n in self.fleet.nodes if n.name not in self._busy]
-        return self.rng.choice(able or self.fleet.nodes)
-
-    # The operator.
+    def _node(self) -> NodeProcess:
+        """Return a random node without a known fault, as a load balancer would."""
+        candidates = [n for n in self.fleet.nodes if n.name not in self._busy]
+        return self.rng.choice(candidates or self.fleet.nodes)
 
     async def operator(self) -> None:
-        """Apply files and check that they come into force and stay."""
+        """Apply changed configuration files at random intervals until the run stops."""
         while not self.is_stopping:
             await asyncio.sleep(self.rng.uniform(3.0, 8.0))
             await self._apply()
@@ -83,7 +82,7 @@
         document = declared_state(2)
         document["workspaces"][0]["max_concurrent"] = 200 + self.rng.randrange(50)
         name = f"apply-{self.revision}-{self.rng.random()}"
-        for _ in range(ATTEMPTS):
+        for _ in range(APPLY_ATTEMPTS):
             with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
                 status, body = await self.fleet.apply(
                     self._node(), document, self.revision, name
@@ -94,10 +93,10 @@
                     return
             await asyncio.sleep(1.0)
         self.ledger.outcomes["apply given up"] += 1
-        await self._catch_up()
+        await self._refresh_revision()
 
-    async def _catch_up(self) -> None:
-        """Learn the revision after an apply whose outcome is not known."""
+    async def _refresh_revision(self) -> None:
+        """Read the current revision after an apply with an unknown outcome."""
         for node in self.fleet.nodes:
             with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
                 found = await self.fleet.read(node, "/config")
@@ -106,7 +105,7 @@
     # Faults.
 
     async def faults(self) -> None:
-        """Bring about faults, in series and overlapping."""
+        """Inject random faults, which may overlap, until the run stops."""
         kinds = [
             self._kill_node,
             self._pause_node,
@@ -133,7 +132,7 @@
         while not self.is_stopping:
             fault = self.rng.choice(kinds)
             self.ledger.faults[fault.__name__[1:]] += 1
-            self._note(fault.__name__[1:])
+            self._record_fault(fault.__name__[1:])
             task = asyncio.ensure_future(fault())
             running.add(task)
             task.add_done_callback(running.discard)
@@ -141,11 +140,11 @@
         if running:
             await asyncio.wait(set(running))
 
-    def _note(self, what: str) -> None:
+    def _record_fault(self, name: str) -> None:
         at_s = time.monotonic() - self.started_s
-        self.ledger.times.append(f"{at_s:.2f} {what}")
+        self.ledger.fault_times.append(f"{at_s:.2f} {name}")
 
-    def _take_node(self) -> NodeChild | None:
+    def _reserve_node(self) -> NodeProcess | None:
         free = [n for n in self.fleet.nodes if n.name not in self._busy]
         if len(free) <= 1:
             return None
@@ -154,27 +153,27 @@
         return node
 
     async def _kill_node(self) -> None:
-        node = self._take_node()
+        node = self._reserve_node()
         if node is None:
             return
         node.send(signal.SIGKILL)
         await node.process.wait()
         await asyncio.sleep(self.rng.uniform(0.1, 2.0))
-        await self._start_again(node)
+        await self._restart_node(node)
 
     async def _pause_node(self) -> None:
-        node = self._take_node()
+        node = self._reserve_node()
         if node is None:
             return
         node.send(signal.SIGSTOP)
-        # Callers that are on its connections do not know.
+        # Callers connected to the node cannot detect the pause: keep choosing it.
         self._busy.discard(node.name)
         await asyncio.sleep(self.rng.uniform(0.5, 6.0))
         node.send(signal.SIGCONT)
         await self.fleet.act("excuse")
 
     async def _stop_node(self) -> None:
-        node = self._take_node()
+        node = self._reserve_node()
         if node is None:
             return
         node.send(signal.SIGCONT)
@@ -183,17 +182,17 @@
             async with asyncio.timeout(30.0):
                 status = await node.process.wait()
         except TimeoutError:
-            self.ledger.violate(f"{node.name} did not end within 30 s of SIGTERM")
+            self.ledger.add_violation(f"{node.name} did not end within 30 s of SIGTERM")
             node.send(signal.SIGKILL)
             status = await node.process.wait()
         if status not in (0, -signal.SIGKILL):
-            self.ledger.violate(f"{node.name} ended with {status} after SIGTERM")
-        await self._start_again(node)
+            self.ledger.add_violation(f"{node.name} ended with {status} after SIGTERM")
+        await self._restart_node(node)
 
-    async def _start_again(self, node: NodeChild) -> None:
-        """Start a node; it may be chosen again once it takes signals itself."""
+    async def _restart_node(self, node: NodeProcess) -> None:
+        """Restart a node and make it available for faults once it handles signals."""
         await self.fleet.restart(node)
-        await self.fleet.until_answers(f"{node.operators_url}/metrics")
+        await self.fleet.wait_until_up(f"{node.operators_url}/metrics")
         await self.fleet.act("excuse")
         self._busy.discard(node.name)
 
@@ -203,9 +202,9 @@
             case 0:
                 proxy.delay_s = self.rng.uniform(0.05, 0.6)
             case 1:
-                proxy.swallows_requests = True
+                proxy.drops_requests = True
             case 2:
-                proxy.swallows_answers = True
+                proxy.drops_answers = True
             case _:
                 proxy.refuses = True
                 proxy.reset_all()
@@ -220,31 +219,31 @@
         self.rng.choice(self.proxies).silence_open()
 
     async def _trouble_store(self) -> None:
-        if not self._store_is_well:
+        if not self._is_store_healthy:
             return
-        self._store_is_well = False
+        self._is_store_healthy = False
         await self.fleet.act("fail_store", how=self.rng.choice(["silent", "busy"]))
         await asyncio.sleep(self.rng.uniform(0.5, 6.0))
-        await self.fleet.act("heal_store", older=self.rng.random() < OLDER_SHARE)
-        self._store_is_well = True
+        await self.fleet.act("heal_store", older=self.rng.random() < RESTORE_FRACTION)
+        self._is_store_healthy = True
 
     async def _lose_all_nodes(self) -> None:
-        if not self._store_is_well or self._busy:
+        if not self._is_store_healthy or self._busy:
             return
         nodes = list(self.fleet.nodes)
         self._busy.update(n.name for n in nodes)
-        self._store_is_well = False
+        self._is_store_healthy = False
         await self.fleet.act("fail_store", how="busy")
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
         await self.fleet.act("lapse_all")
         for node in nodes:
             node.send(signal.SIGKILL)
             await node.process.wait()
-        await asyncio.gather(*(self._start_again(node) for node in nodes))
+        await asyncio.gather(*(self._restart_node(node) for node in nodes))
         await asyncio.sleep(self.rng.uniform(0.0, 1.5))
         await self.fleet.act("heal_store")
         await self.fleet.act("come_back")
-        self._store_is_well = True
+        self._is_store_healthy = True
 
     async def _lose_store_answers(self) -> None:
         await self.fleet.act("lose_answers", count=self.rng.randrange(1, 4))
@@ -253,27 +252,27 @@
         return self.rng.choice((await self.fleet.counts())["engines"])
 
     async def _kill_engine(self) -> None:
-        if self._added >= SPARE_ENGINES:
+        if self._spares_used >= SPARE_ENGINES:
             return
         await self.fleet.act("kill", backend=await self._engine())
         await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-        await self._bring_another()
+        await self._add_engine()
 
-    async def _bring_another(self) -> None:
-        port = self.fleet.spare_port + self._added
-        self._added += 1
+    async def _add_engine(self) -> None:
+        port = self.fleet.spare_port + self._spares_used
+        self._spares_used += 1
         zone = self.rng.choice(ZONES)
         await self.fleet.act("add", port=port, domain="fabric-0", zone=zone)
 
     async def _drain_engine(self) -> None:
-        if self._added >= SPARE_ENGINES:
+        if self._spares_used >= SPARE_ENGINES:
             return
         name = await self._engine()
         await self.fleet.act("drain", backend=name)
         await asyncio.sleep(4.0)
         if name in (await self.fleet.counts())["engines"]:
             await self.fleet.act("kill", backend=name)
-        await self._bring_another()
+        await self._add_engine()
 
     async def _slow_engine(self) -> None:
         name = await self._engine()
@@ -288,8 +287,8 @@
         await self.fleet.act("limit", backend=name, per_s=None)
 
     async def _rest_engine(self) -> None:
-        name, rest_s = await self._engine(), self.rng.uniform(0.5, 3.0)
-        await self.fleet.act("rest", backend=name, for_s=rest_s, share=0.6)
+        name, backoff_s = await self._engine(), self.rng.uniform(0.5, 3.0)
+        await self.fleet.act("rest", backend=name, for_s=backoff_s, share=0.6)
         await asyncio.sleep(self.rng.uniform(1.0, 5.0))
         await self.fleet.act("rest", backend=name, for_s=None, share=1.0)
 
@@ -303,10 +302,10 @@
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
         await self.fleet.act("lose_calls", share=0.0)
 
-    # The whole run.
+    # Complete run.
 
     async def run(self, duration_s: float) -> None:
-        """Run for a while, heal everything, and check the rest."""
+        """Run under faults for ``duration_s``, end them, and check the guarantees."""
         callers = Callers(self._node, lambda: self.is_stopping, self.ledger, self.rng)
         work = [asyncio.ensure_future(callers.run(n)) for n in range(CALLERS)]
         work.append(asyncio.ensure_future(self.operator()))
@@ -329,48 +328,48 @@
 
     async def _check(self) -> None:
         try:
-            async with asyncio.timeout(SETTLE_LIMIT_S):
+            async with asyncio.timeout(SETTLE_TIMEOUT_S):
                 for node in self.fleet.nodes:
-                    await self.fleet.until_answers(f"{node.url}/ready")
-                await self._catch_up()
+                    await self.fleet.wait_until_up(f"{node.url}/ready")
+                await self._refresh_revision()
                 for node in self.fleet.nodes:
-                    await self._until_in_force(node)
+                    await self._check_active(node)
         except TimeoutError:
-            self.ledger.violate("not every node serves again within a minute")
+            self.ledger.add_violation("not every node serves again within a minute")
         counts = await self.fleet.counts()
-        for content in self.ledger.once:
+        for content in self.ledger.at_most_once:
             if counts["contents"].get(content, 0) > 1:
-                self.ledger.violate(f"{content} ran more than once")
+                self.ledger.add_violation(f"{content} ran more than once")
         for content in self.ledger.not_run:
             if counts["contents"].get(content, 0):
-                self.ledger.violate(f"{content} ran though refused as not run")
+                self.ledger.add_violation(f"{content} ran though refused as not run")
         for text in counts["violations"]:
-            self.ledger.violate(text)
+            self.ledger.add_violation(text)
 
-    async def _until_in_force(self, node: NodeChild) -> None:
+    async def _check_active(self, node: NodeProcess) -> None:
         query = f"/config?min_revision={self.revision}"
         found = await self.fleet.read(node, query)
         if found.get("revision", 0) < self.revision:
-            self.ledger.violate(
-                f"{node.name} has {found} {FORCE_LIMIT_S} s after everything healed"
+            self.ledger.add_violation(
+                f"{node.name} has {found} {ACTIVE_LIMIT_S} s after everything healed"
             )
 
 
 async def soak(
     seed: int, duration_s: float, *, loses_all: bool = False, asks_less: bool = False
 ) -> Ledger:
-    """Run one seed; returns what was seen."""
+    """Run the soak test with one seed; returns outcomes, faults and violations."""
     async with Fleet.create() as fleet:
-        one = Soak(fleet, random.Random(seed), loses_all=loses_all, asks_less=asks_less)
-        await one.start()
+        run = Soak(fleet, random.Random(seed), loses_all=loses_all, asks_less=asks_less)
+        await run.start()
         try:
-            await one.run(duration_s)
+            await run.run(duration_s)
         finally:
-            for proxy in one.proxies:
+            for proxy in run.proxies:
                 await proxy.close()
-        if one.ledger.violations:
-            print(*one.ledger.times, f"logs are in {fleet.directory}", sep="\n")
-    return one.ledger
+        if run.ledger.violations:
+            print(*run.ledger.fault_times, f"logs are in {fleet.directory}", sep="\n")
+    return run.ledger
 
 
 @app.default
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""The soak's callers: requests of every kind, and what must hold for their answers."""
+"""Callers of the soak test: they send all kinds of requests and check the answers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,28 @@
 import aiohttp
 import attrs
 from demo import chat_body, expected
-from fleet import API_KEY, NodeChild
-from soak_ledger import Ledger, streamed_text, whole_text
+from fleet import API_KEY, NodeProcess
+from soak_ledger import Ledger, body_text, streamed_text
 
-ATTEMPTS = 3
-"""Tries of a request with an idempotency key."""
+KEYED_ATTEMPTS = 3
+"""Attempts of a request that has an idempotency key."""
 
 
 @attrs.define(eq=False, repr=False)
 class Callers:
-    """Sends requests to whatever node a balancer would choose."""
+    """Callers that send each request to a node chosen as by a load balancer."""
 
-    node: Callable[[], NodeChild]
+    choose_node: Callable[[], NodeProcess]
     is_stopping: Callable[[], bool]
     ledger: Ledger
     rng: random.Random
 
     async def run(self, number: int) -> None:
-        """Send requests of every kind until the run stops."""
+        """Send requests of random kinds until the run stops.
+
+        Args:
+            number: Number of the caller, which is part of its prompts.
+        """
         connector = aiohttp.TCPConnector(limit=0)
         timeout = aiohttp.ClientTimeout(total=30.0)
         async with aiohttp.ClientSession(
@@ -55,11 +59,15 @@
         body: dict[str, Any],
         headers: dict[str, str],
     ) -> tuple[int, str]:
-        """Return status and body; status 0 where the connection broke."""
-        sent = {"Authorization": f"Bearer {API_KEY}", "X-Timeout-S": "15", **headers}
-        url = self.node().url + path
+        """Return status and body; the status is 0 if the connection failed."""
+        all_headers = {
+            "Authorization": f"Bearer {API_KEY}",
+            "X-Timeout-S": "15",
+            **headers,
+        }
+        url = self.choose_node().url + path
         try:
-            async with session.post(url, json=body, headers=sent) as reply:
+            async with session.post(url, json=body, headers=all_headers) as reply:
                 return reply.status, await reply.text()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return 0, ""
@@ -72,13 +80,13 @@
         if status != 200:
             self.ledger.outcomes[f"chat {status}"] += 1
             return
-        answer = streamed_text(content) if stream else whole_text(content)
+        answer = streamed_text(content) if stream else body_text(content)
         if answer is None:
             self.ledger.outcomes["chat broken off"] += 1
             return
         self.ledger.outcomes["chat whole"] += 1
         if answer != expected(text):
-            self.ledger.violate(f"wrong answer to {text!r}: {answer[:80]!r}")
+            self.ledger.add_violation(f"wrong answer to {text!r}: {answer[:80]!r}")
 
     async def _bill(
         self, session: aiohttp.ClientSession, text: str, *, has_key: bool
@@ -86,21 +94,21 @@
         body = {"text": text}
         content = hashlib.sha256(json.dumps(body).encode()).hexdigest()
         headers = {"Idempotency-Key": text} if has_key else {}
-        self.ledger.once.add(content)
-        said_not_run = True
-        for _ in range(ATTEMPTS if has_key else 1):
+        self.ledger.at_most_once.add(content)
+        all_not_run = True
+        for _ in range(KEYED_ATTEMPTS if has_key else 1):
             status, answer = await self._send(
                 session, "/services/yard/billing/1", body, headers
             )
             if status == 200:
-                said_not_run = False
+                all_not_run = False
                 self.ledger.outcomes["bill whole"] += 1
                 if json.loads(answer)["body"] != content:
-                    self.ledger.violate(f"answer of another request to {text!r}")
+                    self.ledger.add_violation(f"answer of another request to {text!r}")
                 break
             ran = json.loads(answer)["error"]["ran"] if status else "maybe"
-            said_not_run &= ran == "no"
+            all_not_run &= ran == "no"
             self.ledger.outcomes[f"bill {status} {ran}"] += 1
             await asyncio.sleep(0.2)
-        if said_not_run:
+        if all_not_run:
             self.ledger.not_run.add(content)
--- a/bench/soak_ledger.py
+++ b/bench/soak_ledger.py
@@ -1,4 +1,4 @@
-"""What the soak's callers and operators saw."""
+"""Results of a soak run, and parsers of answers."""
 
 from __future__ import annotations
 
@@ -10,30 +10,31 @@
 
 @attrs.define
 class Ledger:
-    """What callers and operators saw, and every broken promise."""
+    """Outcomes of requests and applies, injected faults, and violated guarantees."""
 
     outcomes: Counter[str] = attrs.field(factory=Counter)
     faults: Counter[str] = attrs.field(factory=Counter)
     violations: list[str] = attrs.field(factory=list)
-    once: set[str] = attrs.field(factory=set)
-    """Contents of requests that may run once at most."""
+    at_most_once: set[str] = attrs.field(factory=set)
+    """Contents (digests) of requests that may run at most once."""
     not_run: set[str] = attrs.field(factory=set)
-    """Contents of requests whose every answer said that they had not run."""
-    times: list[str] = attrs.field(factory=list)
+    """Contents of requests for which all answers report that they did not run."""
+    fault_times: list[str] = attrs.field(factory=list)
+    """Faults with their time since the start, in seconds."""
 
-    def violate(self, text: str) -> None:
-        """Record a broken promise."""
+    def add_violation(self, text: str) -> None:
+        """Print and record a violated guarantee."""
         print(f"VIOLATION: {text}", flush=True)
         self.violations.append(text)
 
 
-def whole_text(content: str) -> str | None:
-    """Return the text of an answer that came as one body."""
+def body_text(content: str) -> str | None:
+    """Return the text of an answer that is not streamed."""
     return json.loads(content)["choices"][0]["message"]["content"]
 
 
 def streamed_text(content: str) -> str | None:
-    """Return the text of a streamed answer; None if it is not complete."""
+    """Return the text of a streamed answer, or None if it is incomplete."""
     lines = content.split("\n\n")
     if "data: [DONE]" not in lines:
         return None
--- a/deploy/compile_cache.py
+++ b/deploy/compile_cache.py
@@ -1,13 +1,13 @@
-"""Code that libraries generate while they are imported, compiled once by the build.
+"""Cache of the code that libraries generate and compile while they are imported.
 
-attrs writes the methods of each class as text and compiles it at every start of a
-process. Python keeps compiled modules beside their sources, but not this. From the
-cache, and with our folders last on the path, a node is loaded in 0.317 s instead of
-0.356 s (medians of five on the machine of development). What remains of the compiling
-is code that has a hash in it, which differs from process to process.
+attrs generates the methods of each class as source text and compiles it at every
+process start. Python caches compiled modules, but not generated code. With this cache,
+and with the project's folders last on the path, a node loads in 0.317 s instead of
+0.356 s. Source text that contains a hash differs between processes and is still
+compiled at each start.
 
-The build runs ``record`` and a node ``use``; a text that is not in the cache is
-compiled as usual, so that a stale cache costs time only.
+The build calls ``record`` and a node calls ``use``. Source text that is not in the
+cache is compiled as usual, so that a stale cache only costs time.
 """
 
 import builtins
@@ -16,13 +16,13 @@
 from pathlib import Path
 
 CACHE = Path(__file__).resolve().parent.parent / "target" / "generated-code"
-"""Where the build puts the cache."""
+"""File that the build writes the cache to."""
 
 _compile = builtins.compile
 
 
 def record() -> None:
-    """Import a node and write what was compiled meanwhile."""
+    """Import the node and write all code compiled during the import to the cache."""
     seen = {}
 
     def recording(source, filename, mode, *args, **options):
@@ -39,11 +39,11 @@
 
 
 def use() -> None:
-    """Take compiled code from the cache until ``stop`` is called."""
+    """Serve ``compile`` from the cache until ``stop`` is called."""
     try:
         version, cached = marshal.loads(CACHE.read_bytes())
     except (OSError, ValueError, EOFError, TypeError):
-        # No build, or an incomplete one: everything is compiled here.
+        # The cache is missing or incomplete: compile everything as usual.
         return
     if version != sys.version:
         return
@@ -59,5 +59,5 @@
 
 
 def stop() -> None:
-    """Compile as usual again."""
+    """Restore the built-in ``compile``."""
     builtins.compile = _compile
--- a/deploy/entry.py
+++ b/deploy/entry.py
@@ -1,6 +1,6 @@
-"""Starts a node on the users' platform from the sources.
+"""Entry point that starts a node on the platform from the sources.
 
-``entry.py --record`` fills the cache of compiled code, as the build does.
+The build runs ``entry.py --record`` to fill the cache of compiled code.
 """
 
 import gc
@@ -8,18 +8,19 @@
 import sys
 from pathlib import Path
 
-# Nothing that is loaded at the start is ever garbage; looking for it takes a tenth of
-# the time until the node listens.
+# Objects loaded at start-up stay alive; garbage collection would take a tenth of the
+# time until the node listens.
 gc.disable()
 
 ROOT = Path(__file__).resolve().parent.parent
 
-# The HTTP library loads certificates when it is imported, a fifth of the time to
-# start. No connection of a node uses TLS.
+# The HTTP library loads TLS certificates on import, which takes a fifth of the start-up
+# time. No connection of a node uses TLS.
 os.environ["SSL_CERT_FILE"] = os.devnull
 os.environ["SSL_CERT_DIR"] = os.devnull
 
-# At the end: each folder before a library's costs a look there at each of its imports.
+# Append: each path entry ahead of the libraries' folder is searched at each of their
+# imports.
 sys.path += [
     str(ROOT / "platform" / "src"),
     *map(str, sorted(ROOT.glob("packages/*/src"))),
@@ -31,8 +32,8 @@
     compile_cache.record()
     sys.exit()
 
-# Before the libraries are loaded: callers who come meanwhile wait instead of being
-# turned away by a closed port.
+# Open the port before the libraries are loaded: callers that connect meanwhile wait
+# instead of being refused by a closed port.
 from fordhatch_early import open_callers_port  # noqa: E402
 
 callers_port = open_callers_port()
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,4 +1,4 @@
-"""Every mechanism can be switched off, and the table says what that costs."""
+"""Each mechanism can be switched off, and the table shows the cost of doing so."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("mechanism", MECHANISMS, ids=lambda m: m.name)
-def test_the_line_of_a_mechanism_stands_once(mechanism: Mechanism) -> None:
+def test_the_line_of_a_mechanism_occurs_once(mechanism: Mechanism) -> None:
     text = (ROOT / mechanism.path).read_text()
     assert not mechanism.on or text.count(mechanism.on) == 1
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Every guard of the proofs stands where the list says, so that it can be taken out."""
+"""The text of each guard occurs once in its module, so that it can be removed."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     ],
     ids=lambda g: g.promise,
 )
-def test_the_line_of_a_guard_stands_once(guard: Guard) -> None:
+def test_the_line_of_a_guard_occurs_once(guard: Guard) -> None:
     package, _, name = guard.module.partition("/")
     folder = "platform" if package == "adapter" else f"packages/{package}"
     path = ROOT / folder / "src" / "fordhatch" / package / name
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak with a fixed seed; longer ones are run by hand."""
+"""Short soak run with a fixed seed; longer runs are started by hand."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("asks_less", [False, True])
-async def test_a_short_soak_breaks_no_promise(asks_less) -> None:
+async def test_a_short_soak_violates_no_guarantee(asks_less) -> None:
     ledger = await soak(SEED, DURATION_S, asks_less=asks_less)
     assert ledger.violations == []
     assert ledger.outcomes["chat whole"]
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -1,4 +1,4 @@
-"""Only the adapter and the stand-ins know the platform's names."""
+"""Only the adapter and the stand-ins contain the platform's wire names."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_the_platforms_names_stay_at_the_boundary() -> None:
+def test_platform_names_occur_only_in_the_adapter() -> None:
     found = []
     for path in [*ROOT.glob("packages/*/src/**/*.py"), *ROOT.glob("deploy/*.py")]:
         for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -26,5 +26,5 @@
     assert not found, "\n".join(found)
 
 
-def test_the_adapter_does_not_hide_the_standard_library() -> None:
+def test_the_adapter_does_not_shadow_the_standard_library() -> None:
     assert not (ROOT / "platform" / "__init__.py").exists()
