--- a/packages/registry/src/fordhatch/registry/_backend_directory.py
+++ b/packages/registry/src/fordhatch/registry/_backend_directory.py
@@ -234,7 +234,7 @@
         try:
             found = decode_backend(registered_id, row.value)
         except DecodeError as error:
-            self._starts.forget(registered_id)
+            self._starts.remove(registered_id)
             self._reject_row(registered_id, row, str(error))
             return
         self._starts.record_entry(registered_id, has_start_time=found.born_ms != 0)
@@ -330,7 +330,7 @@
         self._pending.pop(registered_id, None)
         self._lapsed.discard(registered_id)
         self._malformed.discard(registered_id)
-        self._starts.forget(registered_id)
+        self._starts.remove(registered_id)
         self._restored.record_removal(registered_id)
         entry = self._entries.pop(registered_id, None)
         if entry is not None:
--- a/packages/registry/src/fordhatch/registry/_start_times.py
+++ b/packages/registry/src/fordhatch/registry/_start_times.py
@@ -32,10 +32,10 @@
 
     def record_entry(self, registered_id: str, *, has_start_time: bool) -> None:
         """Record whether a well-formed entry contains a start time."""
-        self.forget(registered_id)
+        self.remove(registered_id)
         (self._ids_with if has_start_time else self._ids_without).add(registered_id)
 
-    def forget(self, registered_id: str) -> None:
+    def remove(self, registered_id: str) -> None:
         """Stop counting an entry that is removed or malformed."""
         self._ids_with.discard(registered_id)
         self._ids_without.discard(registered_id)
