--- a/packages/daemon/tests/test_answers.py
+++ b/packages/daemon/tests/test_answers.py
@@ -28,7 +28,7 @@
 
 
 def busy_head(site: InProcessSite):
-    works = site.backends._works.values()
+    works = site.backends._work_by_id.values()
     return next((w for w in works if w.running), None)
 
 
