--- a/packages/registry/src/fordhatch/registry/_backend_directory.py
+++ b/packages/registry/src/fordhatch/registry/_backend_directory.py
@@ -111,17 +111,14 @@
         """
         self._removal_subscribers.append(call)
 
-    # Updates of the table.
-
     def observe_snapshot(
         self, rows: Sequence[Row], *, is_restored: bool = False
     ) -> None:
         """Apply all rows of the table.
 
         Args:
-            rows: The rows.
-            is_restored: Whether they are the first rows of a store that was restored
-                from a backup.
+            rows: All rows.
+            is_restored: Whether the store was restored from a backup just before.
         """
         is_first = not self._entries
         before = self.version
@@ -371,8 +368,6 @@
         for call in self._subscribers:
             call()
 
-    # Queries.
-
     def of_service(self, service: str) -> list[BackendServer]:
         """Return the backend servers of a service."""
         return list(self.index.of_service(service))
